--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -121,7 +121,7 @@
 // reset ends a flow at its caller.
 func (p *packets) reset(seg *direct.Segment) {
 	var b [platform.HeaderSize]byte
-	platform.Reset(b[:], seg)
+	platform.PutReset(b[:], seg)
 	p.send(b[:], netip.AddrPortFrom(seg.Caller.Addr(), p.edge.boot.Data.Port()))
 }
 
