--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -50,7 +50,7 @@
 }
 
 func (c *control) readSources(ctx context.Context) (peer.Sources, error) {
-	b, err := c.store.Hint(ctx, platform.SourcesPrefix+c.edge.boot.DataCenter)
+	b, err := c.store.GetStale(ctx, platform.SourcesPrefix+c.edge.boot.DataCenter)
 	if err != nil {
 		return peer.Sources{}, err
 	}
