--- a/internal/daemon/collector.go
+++ b/internal/daemon/collector.go
@@ -40,7 +40,7 @@
 		m.Counter("link_dial_errors", ln.Count.DialErrors.Load)
 		m.Counter("link_refused", ln.Count.Refused.Load)
 		m.Counter("link_renewed", ln.Count.Renewed.Load)
-		m.Gauge("link_certificate_seconds", func() float64 { return files.Left(time.Now()).Seconds() })
+		m.Gauge("link_certificate_seconds", func() float64 { return files.RemainingValidity(time.Now()).Seconds() })
 		m.Counter("link_send_errors", ln.Count.SendErrors.Load)
 		m.Counter("link_undecodable", ln.Count.Undecodable.Load)
 		m.Counter("link_overflow", ln.Count.Overflow.Load)
--- a/internal/keys/files.go
+++ b/internal/keys/files.go
@@ -78,9 +78,9 @@
 	return errors.Wrapf(err, "keys: peer %q", c.Subject.CommonName)
 }
 
-// Left returns how long the VM's certificate in the files is valid from now on:
+// RemainingValidity returns how long the VM's certificate in the files is valid from now on:
 // negative when it has expired, zero when it cannot be read.
-func (f Files) Left(now time.Time) time.Duration {
+func (f Files) RemainingValidity(now time.Time) time.Duration {
 	c, err := f.pair()
 	if err != nil || c.Leaf == nil {
 		return 0
