--- a/internal/store/consul.go
+++ b/internal/store/consul.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// WatchTime is the longest time that a blocking query is left waiting.
+	// WatchTime is the longest wait of a blocking query.
 	WatchTime   = 60 * time.Second
 	callTimeout = 5 * time.Second
 	maxBody     = 64 << 20
 )
 
-// Consul is a Store behind Consul's HTTP API (KV store and blocking queries).
+// Consul implements Store with Consul's HTTP API (KV store and blocking queries).
 type Consul struct {
 	base   string
 	token  string
 	client *http.Client
 }
 
-// NewConsul returns a Store at base, such as http://127.0.0.1:8500.
+// NewConsul returns a Store at the base URL, such as http://127.0.0.1:8500. An empty token
+// sends none.
 func NewConsul(base, token string) *Consul {
 	return &Consul{base: base, token: token, client: &http.Client{}}
 }
@@ -56,9 +57,9 @@
 	return resp, errors.Wrapf(err, "store: %s %s at %s", method, key, c.base)
 }
 
-// watchTime spreads the ends of watches that began together, as after a restart
-// of a whole data centre, so that they are not renewed together for ever.
-func watchTime() time.Duration { return WatchTime - rand.N(WatchTime/4) }
+// jitteredWatchTime returns a random wait of at most WatchTime, so that watches that began
+// together, as after a restart of a whole data centre, are not all renewed at the same time.
+func jitteredWatchTime() time.Duration { return WatchTime - rand.N(WatchTime/4) }
 
 // Get implements Store.
 func (c *Consul) Get(ctx context.Context, key string) (Pair, error) {
@@ -77,17 +78,17 @@
 	q := url.Values{"recurse": {""}}
 	if after > 0 {
 		q.Set("index", strconv.FormatUint(after, 10))
-		q.Set("wait", watchTime().String())
+		q.Set("wait", jitteredWatchTime().String())
 	}
 	return c.list(ctx, prefix, q)
 }
 
 func (c *Consul) list(ctx context.Context, key string, q url.Values) (Listing, error) {
-	limit := callTimeout
+	timeout := callTimeout
 	if q.Has("index") {
-		limit += WatchTime + WatchTime/16 // the store adds jitter to the wait
+		timeout += WatchTime + WatchTime/16 // the store adds jitter to the wait
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := c.call(ctx, http.MethodGet, key, q, nil)
 	if err != nil {
@@ -102,7 +103,7 @@
 		return Listing{}, errors.Errorf("store: read %s at %s: %s", key, c.base, resp.Status)
 	}
 	if index == 0 {
-		return Listing{}, errors.Errorf("store: read %s at %s: an answer without an index", key, c.base)
+		return Listing{}, errors.Errorf("store: read %s at %s: response without an index", key, c.base)
 	}
 	var ps []consulPair
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBody)).Decode(&ps); err != nil {
--- a/internal/store/consul_test.go
+++ b/internal/store/consul_test.go
@@ -19,8 +19,8 @@
 	return store.NewConsul(s.URL, ""), s.URL
 }
 
-// Two operators write the same entry from the same version. One wins, the other
-// is told so, and the loser's delete of the old version does nothing either.
+// Two operators write the same entry from the same version. The first write succeeds, the
+// second gets ErrConflict, and so does a delete of the old version.
 func TestOneOfTwoWritersWins(t *testing.T) {
 	ctx := context.Background()
 	c, _ := standin(t)
@@ -45,9 +45,9 @@
 	}
 }
 
-// The answer to a write is lost after the write took effect. The caller must
-// not take that for a conflict: whether it took effect is open.
-func TestLostAnswerLeavesItOpen(t *testing.T) {
+// The response to a write is lost after the write took effect. The error must not be
+// ErrConflict, which would mean that nothing was written.
+func TestLostResponseIsNotAConflict(t *testing.T) {
 	ctx := context.Background()
 	c, url := standin(t)
 	resp, err := http.Post(url+"/faults", "application/json", strings.NewReader(`{"loseAnswers":1}`))
@@ -63,9 +63,9 @@
 	}
 }
 
-// A reader waits on a prefix and gets the listing when something below it
-// changes. A prefix without keys is an empty listing and no error.
-func TestWatchReturnsAtAChange(t *testing.T) {
+// A watch returns the listing when something below its prefix changes. A prefix without
+// keys yields an empty listing and no error.
+func TestWatchReturnsOnChange(t *testing.T) {
 	ctx := context.Background()
 	c, _ := standin(t)
 	if err := c.Swap(ctx, "elsewhere", []byte("v"), 0); err != nil {
@@ -96,9 +96,9 @@
 	}
 }
 
-// Something in the way answers in the store's place. Its answer must not pass
+// A proxy or another server responds instead of the store. Its response must not be taken
 // for an empty catalogue.
-func TestForeignAnswersAreErrors(t *testing.T) {
+func TestUnexpectedResponsesAreErrors(t *testing.T) {
 	for _, a := range []struct {
 		code  int
 		index string
@@ -118,7 +118,7 @@
 			_, _ = w.Write([]byte(a.body))
 		}))
 		if l, err := store.NewConsul(s.URL, "").List(context.Background(), "p/", 0); err == nil {
-			t.Errorf("%d %q was taken for %+v", a.code, a.body, l)
+			t.Errorf("response %d %q was accepted as %+v", a.code, a.body, l)
 		}
 		s.Close()
 	}
--- a/internal/store/layout.go
+++ b/internal/store/layout.go
@@ -10,11 +10,11 @@
 )
 
 // Shards is the number of prefixes over which services are spread. A watch on
-// a prefix returns everything below it, so that a change costs a reader one
-// shard's entries and not the whole catalogue.
+// a prefix returns everything below it, so that after a change a reader gets
+// the entries of one shard and not the whole catalogue.
 const Shards = 16
 
-// ServicePrefix returns the prefix of all of the catalogue's keys below root.
+// ServicePrefix returns the prefix of all catalogue keys below root.
 func ServicePrefix(root string) string { return strings.Trim(root, "/") + "/services/" }
 
 // ShardPrefix returns the prefix of one shard.
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s%x/", ServicePrefix(root), shard)
 }
 
-// ShardOf returns the shard of a service's name.
+// ShardOf returns the shard of the service with this name.
 func ShardOf(name string) int { return int(xxhash.Sum64String(name) % Shards) }
 
 // ServiceKey returns the key of a service.
@@ -31,8 +31,8 @@
 // VMPrefix returns the prefix below which the platform lists its VMs.
 func VMPrefix(root string) string { return strings.Trim(root, "/") + "/vms/" }
 
-// Versions turns a listing of services into catalogue versions. Keys that are
-// not where ServiceKey puts them are left out.
+// Versions converts a listing of services to catalogue versions. It skips keys that
+// differ from the service's ServiceKey, and empty values.
 func Versions(l Listing, root string) []catalogue.Version {
 	out := make([]catalogue.Version, 0, len(l.Pairs))
 	for _, p := range l.Pairs {
