--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Every mistake is refused with the entry, the field and the reason.
-func TestMistakesAreNamed(t *testing.T) {
+// An invalid entry yields an error with the field and the reason.
+func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`name = "catalogue"`, `name = "Cat alogue"`, "name"},
 		{`owner = "kavango"`, `owner = ""`, "owner"},
@@ -78,9 +78,9 @@
 	return []byte(r.Replace(valid))
 }
 
-// Versions reach balancers in any order, some twice, some from a store that was
-// rewound. All must end with the same entries in force, and an entry must never
-// go back to an older version on the way.
+// Versions arrive in any order, some more than once, as after a rewind of the store.
+// The same entries must be in force in the end, and no entry may revert to an older
+// version in between.
 func TestVersionsConvergeInAnyOrder(t *testing.T) {
 	pool := []Version{
 		{Name: "a", Index: 3, Created: 3, Text: entry("a", "1", "203.0.113.1:80")},
@@ -93,14 +93,14 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		perm := rapid.Permutation(pool).Draw(t, "order")
-		again := rapid.SliceOf(rapid.SampledFrom(pool)).Draw(t, "again")
+		duplicates := rapid.SliceOf(rapid.SampledFrom(pool)).Draw(t, "duplicates")
 		v := NewVersions()
 		high := map[string]uint64{}
-		for _, x := range append(perm, again...) {
+		for _, x := range append(perm, duplicates...) {
 			_, _ = v.Apply(x)
 			now, _ := v.Get(x.Name)
 			if now.Index < high[x.Name] {
-				t.Fatalf("%s went back to %d", x.Name, now.Index)
+				t.Fatalf("%s reverted to version %d", x.Name, now.Index)
 			}
 			high[x.Name] = now.Index
 		}
@@ -116,8 +116,8 @@
 		for _, s := range ss {
 			names = append(names, s.Name)
 		}
-		// b's last valid version may not have been seen before the garbage;
-		// where it was, a's older claim to its address holds it back.
+		// b is never in force: its valid version either arrives after the newer
+		// invalid one, or is held back because a, which is older, has its address.
 		if got := strings.Join(names, " "); got != "a d" {
 			t.Fatalf("in force: %s, held back: %v", got, held)
 		}
--- a/internal/catalogue/class.go
+++ b/internal/catalogue/class.go
@@ -2,15 +2,16 @@
 
 import "github.com/pkg/errors"
 
-// Class says how the connections of an address use their target.
+// Class is the kind of connections to an address, which determines the limit that they count
+// against.
 type Class string
 
 const (
-	// Stream connections are long-lived and count against connections.
+	// Stream connections are long-lived and count against Limits.Connections.
 	Stream Class = "stream"
-	// Request connections carry one request and hold a slot until they close.
+	// Request connections carry one request and occupy a slot until they close.
 	Request Class = "request"
-	// Urgent is Request that goes ahead of it when targets are full.
+	// Urgent connections are like Request, with priority when all targets are full.
 	Urgent Class = "urgent"
 )
 
@@ -24,5 +25,5 @@
 	return errors.Errorf("class %q is not stream, request or urgent", b)
 }
 
-// UsesSlots reports whether a connection of this class holds a slot.
+// UsesSlots reports whether a connection of this class occupies a slot.
 func (c Class) UsesSlots() bool { return c != Stream }
--- a/internal/catalogue/parse.go
+++ b/internal/catalogue/parse.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEntrySize bounds an entry's text in bytes; the store holds a megabyte.
+// MaxEntrySize bounds an entry's text in bytes; the store accepts values of up to a megabyte.
 const MaxEntrySize = 1 << 20
 
 // Parse decodes and validates one entry. Text that begins with a brace is
--- a/internal/catalogue/service.go
+++ b/internal/catalogue/service.go
@@ -1,6 +1,6 @@
 // Package catalogue defines the operators' configuration: one entry per
-// service, parsed and validated once into plain structs, and the merge rule by
-// which versions of entries replace each other.
+// service, parsed and validated once into plain structs, and the rule by which
+// newer versions of entries replace older ones.
 package catalogue
 
 import (
@@ -13,14 +13,14 @@
 	Name   string `toml:"name" json:"name"`
 	Owner  string `toml:"owner" json:"owner"`
 	Number uint32 `toml:"number" json:"number"` // Geneve VNI, unique in the catalogue
-	// BrokenFlowWeight is how much the owner weighs broken flows against
-	// imbalance: 1 weighs only broken flows, 0 only imbalance.
+	// BrokenFlowWeight is the weight of broken flows against imbalance, from
+	// 0 (only imbalance counts) to 1 (only broken flows count).
 	BrokenFlowWeight float64   `toml:"broken_flow_weight" json:"broken_flow_weight"`
 	Limits           Limits    `toml:"limits" json:"limits"`
 	Addresses        []Address `toml:"address" json:"address"`
 	Targets          []Target  `toml:"target" json:"target"`
-	// EditID identifies the edit that wrote this version, so that an editor
-	// whose answer was lost can tell whether the write took effect.
+	// EditID identifies the edit that wrote this version. After a lost
+	// response from the store it shows whether the write took effect.
 	EditID string `toml:"edit_id,omitempty" json:"edit_id,omitempty"`
 }
 
@@ -34,7 +34,7 @@
 	return false
 }
 
-// Limits bounds the work of each target.
+// Limits bounds the load of each target: concurrent requests (Slots) and stream connections.
 type Limits struct {
 	Slots       int `toml:"slots" json:"slots"`
 	Connections int `toml:"connections" json:"connections"`
@@ -45,17 +45,18 @@
 	Address    netip.AddrPort `toml:"address" json:"address"`
 	Class      Class          `toml:"class" json:"class"`
 	Idempotent bool           `toml:"idempotent" json:"idempotent"`
-	// AdmissionDeadline bounds how long an opening packet may wait for room.
+	// AdmissionDeadline bounds how long an opening packet may wait for a target
+	// with free capacity.
 	AdmissionDeadline Duration `toml:"admission_deadline" json:"admission_deadline"`
 }
 
-// TargetState is the operator's wish for a target.
+// TargetState is the state of a target that operators set.
 type TargetState string
 
 const (
-	// Active targets take new flows.
+	// Active targets get new flows.
 	Active TargetState = "active"
-	// Draining targets keep their flows and take no new ones.
+	// Draining targets keep their flows and get no new ones.
 	Draining TargetState = "draining"
 )
 
@@ -64,8 +65,8 @@
 	Address    netip.Addr  `toml:"address" json:"address"`
 	DataCenter string      `toml:"data_center" json:"data_center"`
 	State      TargetState `toml:"state" json:"state"`
-	// Health is the HTTP address of the health and load endpoint; without
-	// it only the answers to flows tell whether the target works.
+	// Health is the HTTP address of the health and load endpoint. Without it,
+	// health is derived only from the target's answers to flows.
 	Health string `toml:"health,omitempty" json:"health,omitempty"`
 }
 
--- a/internal/catalogue/versions.go
+++ b/internal/catalogue/versions.go
@@ -7,10 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is one version of an entry as it travels between balancers. Index
-// is the store's modification index, which grows with every write to any key;
-// Created is the index at which the entry first appeared. An empty Text is a
-// tombstone.
+// Version is one version of an entry, as exchanged between balancers. Index is
+// the store's modification index, which increases with every write to any key;
+// Created is the index of the entry's creation. An empty Text is a tombstone.
 type Version struct {
 	Name    string `cbor:"1,keyasint"`
 	Index   uint64 `cbor:"2,keyasint"`
@@ -21,39 +20,40 @@
 // Deleted reports whether v is a tombstone.
 func (v Version) Deleted() bool { return len(v.Text) == 0 }
 
-// Versions holds the newest version of every entry. An entry is replaced only
-// by a higher index, so that a rewound watch, a delayed message or a store
-// restored from a backup cannot make a change revert.
+// Versions holds the newest version of every entry. Only a version with a higher
+// index replaces an entry, so that a rewound watch, a delayed message or a store
+// restored from a backup cannot revert a change.
 type Versions struct {
 	byName map[string]Version
-	valid  map[string]claim
+	valid  map[string]validEntry
 	digest uint64
 	high   uint64
 }
 
-// claim is the newest valid version of an entry.
-type claim struct {
+// validEntry is the newest valid version of an entry with the index of its creation.
+type validEntry struct {
 	service *Service
 	created uint64
 }
 
 // NewVersions returns an empty set.
 func NewVersions() *Versions {
-	return &Versions{byName: map[string]Version{}, valid: map[string]claim{}}
+	return &Versions{byName: map[string]Version{}, valid: map[string]validEntry{}}
 }
 
-// Outcome says what Apply did with a version.
+// Outcome is the result of Apply.
 type Outcome int
 
 // Outcomes of Apply.
 const (
 	Accepted Outcome = iota
-	Stale            // not newer than what is known
-	Invalid          // does not parse: the last valid version stays in force
+	Stale            // not newer than the known version
+	Invalid          // invalid entry: the last valid version stays in force
 )
 
-// Apply takes v if it is newer than what is known. An invalid version is
-// remembered, so that it is passed on and not asked for again, but not used.
+// Apply records v if it is newer than the known version. An invalid version does
+// not take effect, but is kept so that it is passed on to other balancers and not
+// requested again.
 func (c *Versions) Apply(v Version) (Outcome, error) {
 	old, ok := c.byName[v.Name]
 	if ok && v.Index <= old.Index {
@@ -69,9 +69,9 @@
 		return Invalid, err
 	}
 	if s.Name != v.Name {
-		return Invalid, s.bad("name", "is stored under %q", v.Name)
+		return Invalid, s.fieldError("name", "is stored under %q", v.Name)
 	}
-	c.valid[v.Name] = claim{s, v.Created}
+	c.valid[v.Name] = validEntry{s, v.Created}
 	return Accepted, nil
 }
 
@@ -89,7 +89,7 @@
 	return xxhash.Sum64(b)
 }
 
-// Digest is equal at two balancers that know the same versions.
+// Digest returns a hash that is equal at balancers that know the same versions.
 func (c *Versions) Digest() uint64 { return c.digest }
 
 // High returns the highest index known.
@@ -112,20 +112,19 @@
 }
 
 // Services returns the entries in force, oldest first, and an error for each
-// that is held back.
+// entry that is held back because of a conflict.
 //
-// Failure: two operators give two services the same number or address at the
-// same moment, which no compare-and-swap on one entry can see. It shows as a
-// conflict between two valid entries. The one that was created first keeps it:
-// every balancer with the same versions decides alike, whatever the order in
-// which they arrived.
+// Two operators who concurrently give two services the same number or address
+// create a conflict that compare-and-swap on single entries cannot detect. The
+// entry that was created first keeps the number or address, so that all balancers
+// with the same versions decide alike, whatever the order of arrival.
 func (c *Versions) Services() ([]*Service, []error) {
-	claims := make([]claim, 0, len(c.valid))
-	for _, cl := range c.valid {
-		claims = append(claims, cl)
+	entries := make([]validEntry, 0, len(c.valid))
+	for _, e := range c.valid {
+		entries = append(entries, e)
 	}
-	sort.Slice(claims, func(i, j int) bool {
-		a, b := claims[i], claims[j]
+	sort.Slice(entries, func(i, j int) bool {
+		a, b := entries[i], entries[j]
 		if a.created != b.created {
 			return a.created < b.created
 		}
@@ -133,13 +132,13 @@
 	})
 	var out []*Service
 	var errs []error
-	taken := newTaken()
-	for _, cl := range claims {
-		if err := taken.claim(cl.service); err != nil {
+	allocated := newAllocations()
+	for _, e := range entries {
+		if err := allocated.allocate(e.service); err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		out = append(out, cl.service)
+		out = append(out, e.service)
 	}
 	return out, errs
 }
