--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,9 +13,9 @@
 	"rosedale.dev/rosedale/internal/router"
 )
 
-// Check validates s; the error names the key.
+// Check validates s. The error names the key.
 func (s *Settings) Check() error {
-	for _, f := range []func() error{s.checkIdentity, s.checkAddresses, s.checkTimes, s.checkBounds} {
+	for _, f := range []func() error{s.checkIdentity, s.checkAddresses, s.checkDurations, s.checkLimits} {
 		if err := f(); err != nil {
 			return errors.Wrap(err, "settings")
 		}
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(s.Group) > 0 {
-		return errors.Errorf("group: does not contain the own data centre %q", s.DataCenter)
+		return errors.Errorf("group: does not contain this balancer's data centre %q", s.DataCenter)
 	}
 	return nil
 }
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// bound is a duration's accepted range.
+// bound is a duration with its valid range, limits included.
 type bound struct {
 	key    string
 	value  Duration
 	lo, hi time.Duration
 }
 
-func (s *Settings) bounds() []bound {
+func (s *Settings) durations() []bound {
 	const ms = time.Millisecond
 	return []bound{
 		{"control.period", s.Control.Period, 50 * ms, 10 * time.Second},
@@ -98,8 +98,8 @@
 	}
 }
 
-func (s *Settings) checkTimes() error {
-	for _, b := range s.bounds() {
+func (s *Settings) checkDurations() error {
+	for _, b := range s.durations() {
 		if v := time.Duration(b.value); v < b.lo || v > b.hi {
 			return errors.Errorf("%s: %v is not in %v..%v", b.key, v, b.lo, b.hi)
 		}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (s *Settings) checkBounds() error {
+func (s *Settings) checkLimits() error {
 	if s.Flows.Max < 256 || s.Flows.Max > 1<<26 {
 		return errors.Errorf("flows.max: %d is not in 256..67108864", s.Flows.Max)
 	}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Router returns the router's part.
+// Router returns the settings of the router.
 func (s *Settings) Router() router.Settings {
 	return router.Settings{
 		MaxFlows:      s.Flows.Max,
@@ -144,7 +144,7 @@
 	}
 }
 
-// Member returns the membership's part.
+// Member returns the settings of the membership protocol.
 func (s *Settings) Member() member.Settings {
 	return member.Settings{
 		Period:         time.Duration(s.Control.Period),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the daemon's static settings: a TOML file, with
-// single values overridden by flags and the environment. What changes while
-// the daemon runs is in the catalogue instead.
+// Package settings reads the daemon's static settings: a TOML file, in which
+// flags and the environment override single values. Configuration that changes
+// while the daemon runs is in the catalogue instead.
 package settings
 
 import (
@@ -17,11 +17,11 @@
 	"rosedale.dev/rosedale/internal/router"
 )
 
-// Settings is the settings file. Durations are written as text such as "2s".
+// Settings is the content of the settings file. Durations are text such as "2s".
 type Settings struct {
 	Name       string     `toml:"name"`
 	DataCenter string     `toml:"data_center"`
-	Group      []string   `toml:"group"` // data centres that share sprayed packets; all when empty
+	Group      []string   `toml:"group"` // data centres that share sprayed packets; empty means all
 	Data       Data       `toml:"data"`
 	Fabric     Fabric     `toml:"fabric"`
 	Control    Control    `toml:"control"`
@@ -36,19 +36,20 @@
 	Keys       keys.Files `toml:"keys"`
 }
 
-// Data is the data path's socket.
+// Data configures the data path: its UDP socket and the number of workers.
 type Data struct {
 	Listen  netip.AddrPort `toml:"listen"`
 	Workers int            `toml:"workers"`
 }
 
-// Fabric says where callers are reached and which sources are the fabric's.
+// Fabric holds the address through which callers are reached and the prefixes from which
+// the fabric sends.
 type Fabric struct {
 	Address netip.AddrPort `toml:"address"`
 	Sources []netip.Prefix `toml:"sources"`
 }
 
-// Control is the balancers' own protocol.
+// Control configures the protocol between balancers.
 type Control struct {
 	Listen         netip.AddrPort `toml:"listen"`
 	Period         Duration       `toml:"period"`
@@ -57,12 +58,12 @@
 	PauseLimit     Duration       `toml:"pause_limit"`
 }
 
-// Admin is the operators' endpoint.
+// Admin configures the operators' HTTP endpoint.
 type Admin struct {
 	Listen netip.AddrPort `toml:"listen"`
 }
 
-// Store is the platform's key-value store.
+// Store configures access to the platform's key-value store.
 type Store struct {
 	URL       string   `toml:"url"`
 	Token     string   `toml:"token"`
@@ -70,12 +71,12 @@
 	VMRefresh Duration `toml:"vm_refresh"`
 }
 
-// Catalogue names a folder of entries that takes the store's place.
+// Catalogue names a folder of catalogue entries that replaces the store.
 type Catalogue struct {
 	Folder string `toml:"folder"`
 }
 
-// Flows bounds the flow table.
+// Flows holds the limits and timeouts of the flow table.
 type Flows struct {
 	Max         int      `toml:"max"`
 	MaxOpenings int      `toml:"max_openings"`
@@ -87,35 +88,35 @@
 	DeadAfter   Duration `toml:"dead_after"`
 }
 
-// Balance sets the choice of targets.
+// Balance configures the choice of targets.
 type Balance struct {
 	Policy string   `toml:"policy"`
 	Ramp   Duration `toml:"ramp"`
 	Hints  bool     `toml:"load_hints"`
 }
 
-// Leave bounds a planned stop.
+// Leave holds the time limits of a planned stop.
 type Leave struct {
 	Quiet Duration `toml:"quiet"`
 	Max   Duration `toml:"max"`
 }
 
-// Log sets the log's level.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Member is a balancer that may be reached to join the others.
+// Member is another balancer, through which this one can join the fleet.
 type Member struct {
 	Name       string         `toml:"name" json:"name"`
 	DataCenter string         `toml:"data_center" json:"data_center"`
 	Data       netip.AddrPort `toml:"data" json:"data"`
 	Control    netip.AddrPort `toml:"control" json:"control"`
-	// Source is the address that its packets come from, if it is not that of Data.
+	// Source is the source address of its packets, if it differs from Data's.
 	Source netip.Addr `toml:"source" json:"-"`
 }
 
-// Duration is a time.Duration that TOML writes as text.
+// Duration is a time.Duration with a text form in TOML, such as "2s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -128,7 +129,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Default returns the settings' defaults.
+// Default returns the default settings.
 func Default() Settings {
 	m, r := member.Settings{}.Defaults(), router.Settings{}.Defaults()
 	return Settings{
@@ -155,7 +156,8 @@
 	}
 }
 
-// Read returns the defaults with the file's values in place.
+// Read reads the file at path; settings that it lacks have their defaults. An unknown key is
+// an error.
 func Read(path string) (Settings, error) {
 	s := Default()
 	b, err := os.ReadFile(path)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,7 @@
 	return s.Check()
 }
 
-// Every mistake is refused with the key that is wrong.
+// An invalid setting yields an error that names its key.
 func TestCheck(t *testing.T) {
 	if err := check(t, valid); err != nil {
 		t.Fatal(err)
