--- a/internal/keys/files.go
+++ b/internal/keys/files.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// Files names the PEM files of a VM. CA may hold several authorities, so that
-// one can replace another without an interruption.
+// Files holds the paths of a VM's PEM files. CA may contain several authorities,
+// so that one can replace another without an interruption.
 type Files struct {
 	CA   string `toml:"ca"`
 	Cert string `toml:"cert"`
@@ -18,9 +18,9 @@
 }
 
 // Load returns the TLS configuration of a VM: both sides of a connection must
-// show a certificate of the deployment's authorities. The files are read again
-// for each handshake, so that replaced keys take effect without a restart.
-// Refused is called for each peer that is not of the deployment.
+// present a certificate of one of the deployment's authorities. The files are read
+// again for each handshake, so that replaced keys take effect without a restart.
+// refused is called for each peer whose certificate is rejected.
 func (f Files) Load(refused func()) (*tls.Config, error) {
 	if _, err := f.pool(); err != nil {
 		return nil, err
@@ -64,22 +64,22 @@
 
 func (f Files) verify(raw [][]byte) error {
 	if len(raw) == 0 {
-		return errors.New("keys: peer showed no certificate")
+		return errors.New("keys: peer presented no certificate")
 	}
 	c, err := x509.ParseCertificate(raw[0])
 	if err != nil {
 		return errors.Wrap(err, "keys: parse peer certificate")
 	}
-	p, err := f.pool()
+	roots, err := f.pool()
 	if err != nil {
 		return err
 	}
-	_, err = c.Verify(x509.VerifyOptions{Roots: p, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
+	_, err = c.Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	return errors.Wrapf(err, "keys: peer %q", c.Subject.CommonName)
 }
 
-// RemainingValidity returns how long the VM's certificate in the files is valid from now on:
-// negative when it has expired, zero when it cannot be read.
+// RemainingValidity returns the time until the VM's certificate expires: negative if it has
+// expired, zero if it cannot be read.
 func (f Files) RemainingValidity(now time.Time) time.Duration {
 	c, err := f.pair()
 	if err != nil || c.Leaf == nil {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys makes and loads the certificates by which the balancers of a
-// deployment know each other: one authority for the deployment, and one
-// certificate for each VM that carries the VM's name.
+// Package keys creates and loads the certificates with which the balancers of a
+// deployment authenticate each other: one certificate authority per deployment,
+// and one certificate per VM with the VM's name as common name.
 package keys
 
 import (
@@ -22,7 +22,7 @@
 
 const (
 	serialBits = 120
-	backdate   = 5 * time.Minute // clocks of VMs differ
+	backdate   = 5 * time.Minute // tolerated clock difference between VMs
 )
 
 // Pair is a certificate with its private key, in PEM.
@@ -30,7 +30,8 @@
 	Cert, Key []byte
 }
 
-// NewAuthority makes a deployment's authority.
+// NewAuthority creates the certificate authority of a deployment; it expires at now plus
+// valid.
 func NewAuthority(name string, valid time.Duration, now time.Time) (Pair, error) {
 	t, err := template(name, valid, now)
 	if err != nil {
@@ -42,7 +43,8 @@
 	return sign(t, nil, nil)
 }
 
-// NewMember makes the certificate of the VM name, signed by ca.
+// NewMember creates the certificate of the VM with this name, signed by ca; it expires at now
+// plus valid.
 func NewMember(ca Pair, name string, valid time.Duration, now time.Time) (Pair, error) {
 	t, err := template(name, valid, now)
 	if err != nil {
@@ -97,7 +99,7 @@
 	}, nil
 }
 
-// Name returns the VM name of a verified connection.
+// Name returns the VM name in the peer's certificate of a verified connection, or "".
 func Name(s tls.ConnectionState) string {
 	if len(s.PeerCertificates) == 0 {
 		return ""
