--- a/internal/operator/edge.go
+++ b/internal/operator/edge.go
@@ -10,28 +10,28 @@
 	"rosedale.dev/rosedale/internal/edge"
 )
 
-// Edges asks balancers whose targets answer callers themselves.
+// Edges queries rosedale-edge balancers, whose targets answer callers directly.
 type Edges struct {
 	Admins []string // their admin addresses
 }
 
-// EdgeStatus is one balancer's answer.
+// EdgeStatus is one balancer's status, or the error of the query.
 type EdgeStatus struct {
 	Admin  string       `json:"admin"`
 	Status *edge.Status `json:"status,omitempty"`
 	Error  string       `json:"error,omitempty"`
 }
 
-// EdgeExplanation is what one balancer says of a flow.
+// EdgeExplanation is how one balancer would handle a flow, or the error of the query.
 type EdgeExplanation struct {
 	Admin       string              `json:"admin"`
 	Explanation *direct.Explanation `json:"explanation,omitempty"`
 	Error       string              `json:"error,omitempty"`
 }
 
-// Status asks all balancers.
+// Status queries the status of all balancers.
 func (e Edges) Status(ctx context.Context) []EdgeStatus {
-	return each(e.Admins, func(admin string) EdgeStatus {
+	return mapConcurrently(e.Admins, func(admin string) EdgeStatus {
 		out := EdgeStatus{Admin: admin}
 		var s edge.Status
 		if err := (&Fleet{}).Get(ctx, admin, edge.StatusPath, nil, &s); err != nil {
@@ -43,10 +43,10 @@
 	})
 }
 
-// Explain asks all balancers about a flow.
+// Explain queries all balancers about a flow.
 func (e Edges) Explain(ctx context.Context, caller, address netip.AddrPort) []EdgeExplanation {
 	q := url.Values{"caller": {caller.String()}, "address": {address.String()}}
-	return each(e.Admins, func(admin string) EdgeExplanation {
+	return mapConcurrently(e.Admins, func(admin string) EdgeExplanation {
 		out := EdgeExplanation{Admin: admin}
 		var x direct.Explanation
 		if err := (&Fleet{}).Get(ctx, admin, edge.ExplainPath, q, &x); err != nil {
@@ -58,8 +58,8 @@
 	})
 }
 
-// each calls f for all balancers at once and keeps their order.
-func each[T any](admins []string, f func(string) T) []T {
+// mapConcurrently calls f for all balancers concurrently and returns the results in order.
+func mapConcurrently[T any](admins []string, f func(string) T) []T {
 	out := make([]T, len(admins))
 	var wg sync.WaitGroup
 	for i, a := range admins {
@@ -69,13 +69,14 @@
 	return out
 }
 
-// Difference is a target about which balancers disagree.
+// Difference is a target whose state differs between balancers.
 type Difference struct {
 	Target string            `json:"target"`
 	States map[string]string `json:"states"` // by VM
 }
 
-// Differences returns the targets whose state is not the same at all balancers.
+// Differences returns the targets whose state differs between balancers, in the order in
+// which they are first listed.
 func Differences(all []EdgeStatus) []Difference {
 	byTarget := map[string]map[string]string{}
 	var order []string
@@ -93,15 +94,15 @@
 	}
 	var out []Difference
 	for _, id := range order {
-		if d := (Difference{id, withMissing(byTarget[id], all)}); !same(d.States) {
+		if d := (Difference{id, addUnknown(byTarget[id], all)}); !allEqual(d.States) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// withMissing adds the balancers that do not know a target.
-func withMissing(states map[string]string, all []EdgeStatus) map[string]string {
+// addUnknown adds the state "unknown" for each balancer that does not list a target.
+func addUnknown(states map[string]string, all []EdgeStatus) map[string]string {
 	for _, s := range all {
 		if s.Status != nil && states[s.Status.VM] == "" {
 			states[s.Status.VM] = "unknown"
@@ -110,7 +111,7 @@
 	return states
 }
 
-func same(states map[string]string) bool {
+func allEqual(states map[string]string) bool {
 	first := ""
 	for _, s := range states {
 		if first == "" {
--- a/internal/operator/edge_test.go
+++ b/internal/operator/edge_test.go
@@ -8,8 +8,8 @@
 	"rosedale.dev/rosedale/internal/edge"
 )
 
-// Two balancers disagree about a target, and a third has not heard of another
-// one: an operator has to see just these two.
+// One target has different states at two balancers, and a third balancer does not know
+// another target. Only these two targets are differences.
 func TestDifferences(t *testing.T) {
 	status := func(vm string, states map[string]string) EdgeStatus {
 		s := &edge.Status{VM: vm}
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -1,6 +1,6 @@
-// Package operator holds what the command-line tool does with the catalogue:
-// every write is a compare-and-swap that carries an edit id, so that a lost
-// answer and a race with another operator are told apart.
+// Package operator implements the operations of the command-line tool: edits of the
+// catalogue, and queries to balancers. Every write to the catalogue is a compare-and-swap
+// with an edit ID, which distinguishes a lost response from a race with another operator.
 package operator
 
 import (
@@ -17,38 +17,38 @@
 
 const (
 	editIDBytes = 8
-	// resolveTries and resolvePause bound the reading back after a lost answer.
-	resolveTries = 20
-	resolvePause = 250 * time.Millisecond
+	// resolveAttempts and resolvePause bound the reads that determine the outcome of a write
+	// whose response was lost.
+	resolveAttempts = 20
+	resolvePause    = 250 * time.Millisecond
 )
 
-// Conflict is the error of an edit that lost to another one.
+// Conflict is the error of an edit that conflicts with a concurrent one.
 type Conflict struct {
 	Name   string
-	Theirs *catalogue.Service // what is in the store now, nil if deleted
-	Diff   string             // from theirs to what was to be written
-	// Unsure means that the store's answer was lost: the edit may have taken
+	Theirs *catalogue.Service // the entry in the store, nil if deleted
+	Diff   string             // from Theirs to the rejected entry
+	// Uncertain means that the store's response was lost: the edit may have taken
 	// effect before the other one replaced it.
-	Unsure bool
+	Uncertain bool
 }
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	if c.Unsure {
-		return "catalogue: the store's answer was lost and entry " + c.Name + " now holds someone else's edit, perhaps made on top of this one"
+	if c.Uncertain {
+		return "catalogue: the store's response was lost and entry " + c.Name + " holds another edit, which may be based on this one"
 	}
-	return "catalogue: entry " + c.Name + " was changed by someone else meanwhile; nothing was written"
+	return "catalogue: entry " + c.Name + " was changed concurrently; nothing was written"
 }
 
-// ErrUnknown is the error of an edit of which it could not be found out
-// whether it took effect.
-var ErrUnknown = errors.New("catalogue: the store gave no answer; it is unknown whether the edit took effect")
+// ErrUnknown is the error of an edit whose outcome could not be determined.
+var ErrUnknown = errors.New("catalogue: the store did not respond; it is unknown whether the edit took effect")
 
 // Catalogue edits the entries in a store.
 type Catalogue struct {
 	Store  store.Store
 	Prefix string
-	Pause  time.Duration // between reads after a lost answer; zero takes the default
+	Pause  time.Duration // between reads after a lost response; zero means 250 ms
 }
 
 func (c *Catalogue) key(name string) string { return store.ServiceKey(c.Prefix, name) }
@@ -60,7 +60,7 @@
 	Text    []byte
 }
 
-// Get returns an entry; store.ErrNotFound if there is none.
+// Get returns an entry, or store.ErrNotFound if there is none.
 func (c *Catalogue) Get(ctx context.Context, name string) (Entry, error) {
 	p, err := c.Store.Get(ctx, c.key(name))
 	if err != nil {
@@ -70,27 +70,28 @@
 	return Entry{s, p.Index, p.Value}, err
 }
 
-// List returns all entries that parse, and the errors of those that do not.
+// List returns all valid entries, and the errors of the invalid ones.
 func (c *Catalogue) List(ctx context.Context) ([]Entry, []error, error) {
 	l, err := c.Store.List(ctx, store.ServicePrefix(c.Prefix), 0)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "catalogue: list")
 	}
 	var out []Entry
-	var bad []error
+	var invalid []error
 	for _, v := range store.Versions(l, c.Prefix) {
 		s, err := catalogue.Parse(v.Text)
 		if err != nil {
-			bad = append(bad, err)
+			invalid = append(invalid, err)
 			continue
 		}
 		out = append(out, Entry{s, v.Index, v.Text})
 	}
-	return out, bad, nil
+	return out, invalid, nil
 }
 
-// Put writes s if the entry's index is still old; zero means that it must be
-// new. It returns the index of the written version.
+// Put writes s if the entry's index is still old; zero means that the entry must not
+// exist. It returns the index of the written version, or 0 if the entry was written but
+// its index could not be read. Errors include *Conflict, ErrUnknown and ErrNotWritten.
 func (c *Catalogue) Put(ctx context.Context, s *catalogue.Service, old uint64) (uint64, error) {
 	if err := s.Validate(); err != nil {
 		return 0, err
@@ -98,22 +99,22 @@
 	if err := c.checkOthers(ctx, s); err != nil {
 		return 0, err
 	}
-	w := *s
-	w.EditID = newEditID()
-	text, err := catalogue.Encode(&w)
+	edited := *s
+	edited.EditID = newEditID()
+	text, err := catalogue.Encode(&edited)
 	if err != nil {
 		return 0, err
 	}
 	err = c.Store.Swap(ctx, c.key(s.Name), text, old)
 	switch {
 	case errors.Is(err, store.ErrConflict):
-		return 0, c.conflict(ctx, &w)
+		return 0, c.conflict(ctx, &edited)
 	case err != nil:
-		return c.resolve(ctx, &w, old)
+		return c.resolve(ctx, &edited, old)
 	}
 	p, err := c.Store.Get(ctx, c.key(s.Name))
 	if err != nil {
-		return 0, nil // it was written; only its index is not known
+		return 0, nil // written, but the index is unknown
 	}
 	return p.Index, nil
 }
@@ -130,8 +131,8 @@
 	return s.Conflict(others)
 }
 
-// conflict tells a refused write's cause. The write may have been this edit's
-// own, sent twice by a client library after a lost answer.
+// conflict returns the error of a rejected write, or nil if the stored version is the edit
+// itself, which a client library may have sent twice after a lost response.
 func (c *Catalogue) conflict(ctx context.Context, s *catalogue.Service) error {
 	e, err := c.Get(ctx, s.Name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -146,25 +147,24 @@
 	return &Conflict{Name: s.Name, Theirs: e.Service, Diff: Diff(e.Service, s)}
 }
 
-// resolve finds out what became of a write without an answer, by reading back
-// until the store answers.
+// resolve determines the outcome of a write whose response was lost, by reading
+// the entry until the store responds.
 //
-// Failure: the answer is lost after the write took effect; repeating the write
-// would fail or, without a compare-and-swap, undo someone's later edit. It
-// shows as an error that says nothing. The edit id in the entry tells: it is
-// there (took effect), the index is still the old one (did not), or another
-// edit's id is there (someone else's edit, perhaps on top of this one).
+// The error of the write does not show whether it took effect. Repeating a write
+// that did would fail or, without compare-and-swap, undo a later edit. The entry
+// shows the outcome: this edit's ID (it took effect), the old index (it did not),
+// or another edit's ID (another edit, possibly based on this one).
 func (c *Catalogue) resolve(ctx context.Context, s *catalogue.Service, old uint64) (uint64, error) {
 	pause := c.Pause
 	if pause == 0 {
 		pause = resolvePause
 	}
-	for range resolveTries {
+	for range resolveAttempts {
 		p, err := c.Store.Get(ctx, c.key(s.Name))
 		missing := errors.Is(err, store.ErrNotFound)
 		switch {
 		case err == nil || missing:
-			return c.resolved(s, p, missing, old)
+			return c.outcomeOf(s, p, missing, old)
 		case ctx.Err() != nil:
 			return 0, ErrUnknown
 		}
@@ -176,16 +176,16 @@
 	return 0, ErrUnknown
 }
 
-// ErrNotWritten is the error of an edit that certainly did not take effect,
-// and may be tried again.
+// ErrNotWritten is the error of a failed edit that did not take effect and can
+// be retried.
 var ErrNotWritten = errors.New("catalogue: the store failed and the edit did not take effect")
 
-func (c *Catalogue) resolved(s *catalogue.Service, p store.Pair, missing bool, old uint64) (uint64, error) {
+func (c *Catalogue) outcomeOf(s *catalogue.Service, p store.Pair, missing bool, old uint64) (uint64, error) {
 	if missing && old == 0 || !missing && p.Index == old {
 		return 0, ErrNotWritten
 	}
 	if missing {
-		return 0, &Conflict{Name: s.Name, Diff: Diff(nil, s), Unsure: true}
+		return 0, &Conflict{Name: s.Name, Diff: Diff(nil, s), Uncertain: true}
 	}
 	theirs, err := catalogue.Parse(p.Value)
 	if err == nil && theirs.EditID == s.EditID {
@@ -194,7 +194,8 @@
 	return 0, &Conflict{s.Name, theirs, Diff(theirs, s), true}
 }
 
-// Delete removes an entry if its index is still old.
+// Delete removes an entry if its index is still old, and returns a *Conflict otherwise. An
+// entry that no longer exists after a failed call counts as deleted.
 func (c *Catalogue) Delete(ctx context.Context, name string, old uint64) error {
 	err := c.Store.Delete(ctx, c.key(name), old)
 	if errors.Is(err, store.ErrConflict) {
@@ -204,13 +205,13 @@
 		return nil
 	}
 	if _, gerr := c.Store.Get(ctx, c.key(name)); errors.Is(gerr, store.ErrNotFound) {
-		return nil // gone, by this call or another one
+		return nil // deleted, by this call or another one
 	}
 	return errors.Wrapf(err, "catalogue: delete %s", name)
 }
 
 func newEditID() string {
 	var b [editIDBytes]byte
-	_, _ = rand.Read(b[:]) // never fails, see crypto/rand
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return hex.EncodeToString(b[:])
 }
--- a/internal/operator/edit_test.go
+++ b/internal/operator/edit_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// lossy is a store that loses answers and calls by a seeded plan.
+// lossy is a store that loses calls and responses at random, with a seed.
 type lossy struct {
 	store.Store
 	mu  sync.Mutex
@@ -41,11 +41,11 @@
 	x := l.rnd.IntN(4)
 	l.mu.Unlock()
 	if x == 0 {
-		return errLost // the call never arrived
+		return errLost // the call was lost
 	}
 	err := l.Store.Swap(ctx, key, value, old)
 	if x == 1 {
-		return errLost // the answer did not
+		return errLost // the response was lost
 	}
 	return err
 }
@@ -57,8 +57,8 @@
 	return store.NewConsul(srv.URL, "")
 }
 
-// Two operators read the same entry and both write it. One wins; the other is
-// told, and sees the difference to what is there now.
+// Two operators read the same entry and both write it. The first write succeeds; the second
+// gets a Conflict with the difference to the stored entry.
 func TestRaceHasOneWinner(t *testing.T) {
 	ctx := context.Background()
 	c := &Catalogue{Store: testStore(t), Prefix: "rosedale"}
@@ -79,8 +79,8 @@
 	}
 }
 
-// The store takes a write and its answer is lost. The operator must not be told
-// that it failed, and must not repeat it over somebody's later edit.
+// The response or the call of a write is lost. Guards against reporting a write that took
+// effect as failed, after which an operator would repeat it over a later edit.
 func TestLostAnswerIsResolved(t *testing.T) {
 	ctx := context.Background()
 	st := testStore(t)
@@ -106,22 +106,22 @@
 
 func (s *callLost) Swap(context.Context, string, []byte, uint64) error { return errLost }
 
-// edit is an operation of the checked histories: write value over the version
-// that held old, or read.
+// edit is an operation in the checked histories: a read, or a write of value that
+// replaces the version with value old.
 type edit struct {
 	read       bool
 	old, value int
 }
 
-// result is what the operator was told.
+// result is the outcome reported to the operator.
 type result struct {
-	value   int // of a read
+	value   int // result of a read
 	written bool
 	unknown bool
 }
 
-// register is the entry as a compare-and-swap register. An edit of which the
-// operator could not be sure may or may not have been written.
+// register models the entry as a compare-and-swap register. An edit with an unknown outcome
+// may or may not have been written.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
@@ -140,9 +140,9 @@
 	},
 }
 
-// Four operators edit one entry at once over a store that loses calls and
-// answers. What they are told has to fit some order of their edits in which each
-// wrote over the version that it had read.
+// Four operators concurrently edit one entry in a store that loses calls and responses. The
+// reported outcomes have to be linearizable: they match some order of the edits in which
+// each replaced the version that its operator had read.
 func TestEditsAreLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		ops := history(t, seed)
@@ -180,8 +180,8 @@
 					t.Error(err)
 					return
 				}
-				seen := e.Service.Limits.Connections - 1
-				add(client, edit{read: true}, call, result{value: seen})
+				current := e.Service.Limits.Connections - 1
+				add(client, edit{read: true}, call, result{value: current})
 				value := client*1000 + i + 1
 				call = time.Since(began).Nanoseconds()
 				_, err = c.Put(ctx, testEntry(t, value+1), e.Index)
@@ -189,8 +189,8 @@
 				if err != nil && !errors.As(err, &conflict) && !errors.Is(err, ErrNotWritten) {
 					t.Errorf("unexpected: %v", err)
 				}
-				unsure := conflict != nil && conflict.Unsure
-				add(client, edit{old: seen, value: value}, call, result{written: err == nil, unknown: unsure})
+				uncertain := conflict != nil && conflict.Uncertain
+				add(client, edit{old: current, value: value}, call, result{written: err == nil, unknown: uncertain})
 			}
 		}()
 	}
@@ -198,8 +198,8 @@
 	return ops
 }
 
-// A history in which an edit overwrote one that its operator had not read is
-// what the check exists for: it has to reject it.
+// Checks the model itself: it has to reject a history in which an edit replaced a version
+// that its operator had not read.
 func TestLostUpdateIsNotLinearizable(t *testing.T) {
 	ops := []porcupine.Operation{
 		{ClientId: 0, Input: edit{old: 0, value: 1}, Call: 0, Output: result{written: true}, Return: 1},
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -16,73 +16,74 @@
 )
 
 const (
-	askTimeout = 3 * time.Second
-	waitPoll   = 100 * time.Millisecond
-	// maxAsked bounds the balancers that are asked at the same time.
-	maxAsked = 32
-	// maxAnswer bounds a balancer's answer, in bytes.
-	maxAnswer = 64 << 20
+	queryTimeout = 3 * time.Second
+	pollInterval = 100 * time.Millisecond
+	// maxConcurrentQueries bounds the balancers that are queried at the same time.
+	maxConcurrentQueries = 32
+	// maxBodySize bounds a balancer's response body, in bytes.
+	maxBodySize = 64 << 20
 )
 
-// Fleet asks balancers over their admin endpoints.
+// Fleet queries balancers through their admin endpoints.
 type Fleet struct {
-	Admin  string // any balancer's admin address
+	Admin  string // admin address of any balancer
 	client http.Client
 }
 
-// Get asks one balancer and decodes its answer.
+// Get queries one balancer and decodes its JSON response.
 func (f *Fleet) Get(ctx context.Context, admin, path string, q url.Values, into any) error {
 	if len(q) > 0 {
 		path += "?" + q.Encode()
 	}
-	b, err := f.raw(ctx, admin, path)
+	b, err := f.fetch(ctx, admin, path)
 	if err != nil {
 		return err
 	}
-	return errors.Wrapf(json.Unmarshal(b, into), "ask %s for %s", admin, path)
+	return errors.Wrapf(json.Unmarshal(b, into), "query balancer %s for %s", admin, path)
 }
 
-// raw returns a balancer's answer as it is.
-func (f *Fleet) raw(ctx context.Context, admin, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// fetch returns the body of a balancer's response.
+func (f *Fleet) fetch(ctx context.Context, admin, path string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+path, nil)
 	if err != nil {
-		return nil, errors.Wrapf(err, "ask %s", admin)
+		return nil, errors.Wrapf(err, "query balancer %s", admin)
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return nil, errors.Wrapf(err, "ask %s", admin)
+		return nil, errors.Wrapf(err, "query balancer %s", admin)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("ask %s for %s: %s", admin, path, resp.Status)
+		return nil, errors.Errorf("query balancer %s for %s: %s", admin, path, resp.Status)
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	return b, errors.Wrapf(err, "ask %s for %s", admin, path)
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize))
+	return b, errors.Wrapf(err, "query balancer %s for %s", admin, path)
 }
 
-// VM is a balancer's own status, or why it gave none.
+// VM is a balancer with its status, or the error of the query.
 type VM struct {
 	Name   string          `json:"name"`
 	Admin  string          `json:"admin"`
-	State  string          `json:"state"` // as the first balancer sees it
+	State  string          `json:"state"` // according to the first balancer
 	Status *control.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Status asks every member that the first balancer knows.
+// Status queries all live members that the first balancer knows, and returns all members
+// sorted by name.
 func (f *Fleet) Status(ctx context.Context) ([]VM, error) {
 	var first control.Status
 	if err := f.Get(ctx, f.Admin, "/status", nil, &first); err != nil {
 		return nil, err
 	}
 	vms := make([]VM, len(first.Members))
-	sem := make(chan struct{}, maxAsked)
+	sem := make(chan struct{}, maxConcurrentQueries)
 	var wg sync.WaitGroup
 	for i, m := range first.Members {
 		vms[i] = VM{Name: m.Name, Admin: m.Admin, State: m.State}
-		if !live(m.State) {
+		if !isLive(m.State) {
 			continue
 		}
 		wg.Add(1)
@@ -103,18 +104,18 @@
 	return vms, nil
 }
 
-func live(state string) bool {
+func isLive(state string) bool {
 	return state == "alive" || state == "suspect" || state == "leaving" || state == "starting"
 }
 
-// Wait returns when every live balancer has at least index of the entry name
-// in force. The error names those that have not.
+// Wait waits until every live balancer has at least version index of the entry
+// with this name in force. If ctx ends first, the error lists the other balancers.
 func (f *Fleet) Wait(ctx context.Context, name string, index uint64) error {
 	for {
 		vms, err := f.Status(ctx)
 		var behind []string
 		for _, v := range vms {
-			if !live(v.State) {
+			if !isLive(v.State) {
 				continue
 			}
 			if v.Status == nil || v.Status.Catalogue.Versions[name] < index {
@@ -129,8 +130,8 @@
 			if err != nil {
 				return err
 			}
-			return errors.Errorf("not in force yet at %v", behind)
-		case <-time.After(waitPoll):
+			return errors.Errorf("not in force at %v", behind)
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/operator/snapshot.go
+++ b/internal/operator/snapshot.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// SnapshotFlows bounds the flows of each balancer in a snapshot.
+// SnapshotFlows bounds the number of flows of each balancer in a snapshot.
 const SnapshotFlows = 5000
 
-// snapshotFiles are what a snapshot takes from each balancer, by file name.
+// snapshotFiles lists the files of each balancer in a snapshot and the paths that provide them.
 var snapshotFiles = []struct{ name, path string }{
 	{"status.json", "/status"},
 	{"metrics.txt", "/metrics"},
@@ -22,10 +22,10 @@
 	{"goroutines.txt", "/debug/pprof/goroutine?debug=1"},
 }
 
-// Snapshot writes a zip archive of what every live balancer says of itself: a
-// folder for each, fleet.json as the first balancer sees it, and errors.txt with
-// what could not be had. Balancers change nothing for it. It returns an error
-// only if the archive cannot be written or no balancer answers.
+// Snapshot writes a zip archive of the state of every live balancer: a folder for
+// each, fleet.json with the members according to the first balancer, and errors.txt
+// with the failed queries. It changes no balancer's state. It returns an error only
+// if the archive cannot be written or the first balancer does not respond.
 func (f *Fleet) Snapshot(ctx context.Context, out io.Writer) error {
 	vms, err := f.Status(ctx)
 	if err != nil {
@@ -39,32 +39,33 @@
 	if err := addFile(z, "fleet.json", fleet); err != nil {
 		return err
 	}
-	var missing []string
+	var failures []string
 	for _, v := range vms {
-		if !live(v.State) {
+		if !isLive(v.State) {
 			continue
 		}
-		lost, err := f.snapshotVM(ctx, z, v)
+		failure, err := f.snapshotVM(ctx, z, v)
 		if err != nil {
 			return err
 		}
-		if lost != "" {
-			missing = append(missing, lost)
+		if failure != "" {
+			failures = append(failures, failure)
 		}
 	}
-	if len(missing) > 0 {
-		if err := addFile(z, "errors.txt", []byte(strings.Join(missing, "\n")+"\n")); err != nil {
+	if len(failures) > 0 {
+		if err := addFile(z, "errors.txt", []byte(strings.Join(failures, "\n")+"\n")); err != nil {
 			return err
 		}
 	}
-	return errors.Wrap(z.Close(), "snapshot: end archive")
+	return errors.Wrap(z.Close(), "snapshot: close archive")
 }
 
-// snapshotVM adds one balancer's files. It stops at the first that it does not
-// get, and returns which: a balancer that hangs is waited for once.
-func (f *Fleet) snapshotVM(ctx context.Context, z *zip.Writer, v VM) (missing string, err error) {
+// snapshotVM adds one balancer's files. It stops at the first failed query and
+// describes it in failure, so that a balancer that hangs costs one timeout only.
+// err is an error of the archive.
+func (f *Fleet) snapshotVM(ctx context.Context, z *zip.Writer, v VM) (failure string, err error) {
 	for _, s := range snapshotFiles {
-		b, err := f.raw(ctx, v.Admin, s.path)
+		b, err := f.fetch(ctx, v.Admin, s.path)
 		if err != nil {
 			return fmt.Sprintf("%s: %v", v.Name, err), nil
 		}
--- a/internal/operator/snapshot_test.go
+++ b/internal/operator/snapshot_test.go
@@ -11,10 +11,9 @@
 	"testing"
 )
 
-// Something is wrong in the night and an operator takes a snapshot for whoever
-// looks at it in the morning. One balancer does not answer: the snapshot holds
-// the others and says what is missing.
-func TestSnapshotHoldsWhatAnswers(t *testing.T) {
+// One balancer does not respond: the snapshot contains the others, and errors.txt
+// describes the failure.
+func TestSnapshotWithUnreachableBalancer(t *testing.T) {
 	var addr string
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/status" {
@@ -43,6 +42,6 @@
 	}
 	want := "fleet.json vault-a-1/status.json vault-a-1/metrics.txt vault-a-1/flows.json vault-a-1/goroutines.txt errors.txt"
 	if got := strings.Join(names, " "); got != want {
-		t.Fatalf("the archive holds %s", got)
+		t.Fatalf("the archive contains %s", got)
 	}
 }
