--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds what the daemons' command lines share.
+// Package cli implements error handling and exit codes of the daemons' command lines.
 package cli
 
 import (
@@ -15,20 +15,21 @@
 	ExitUsage   = 2
 )
 
-// ErrUsage is the cause of errors in how a program was called.
+// ErrUsage is the cause of errors in a program's arguments.
 var ErrUsage = errors.New("usage")
 
-// Main runs a daemon with its arguments and ends the process with an exit code.
+// Main runs a daemon with the process's arguments. If run fails, Main prints the error and
+// exits with ExitUsage or ExitFailure; flag.ErrHelp counts as success.
 func Main(name string, run func(args []string) error) {
 	err := run(os.Args[1:])
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return
 	}
 	fmt.Fprintln(os.Stderr, name+":", err)
-	os.Exit(code(err))
+	os.Exit(exitCode(err))
 }
 
-func code(err error) int {
+func exitCode(err error) int {
 	if errors.Is(err, ErrUsage) {
 		return ExitUsage
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	if got := code(errors.Wrap(ErrUsage, "-x is needed")); got != ExitUsage {
+	if got := exitCode(errors.Wrap(ErrUsage, "-x is needed")); got != ExitUsage {
 		t.Errorf("exit code %d of a usage error", got)
 	}
-	if got := code(errors.New("no address")); got != ExitFailure {
+	if got := exitCode(errors.New("no address")); got != ExitFailure {
 		t.Errorf("exit code %d of a failure", got)
 	}
 }
