--- a/internal/daemon/collector.go
+++ b/internal/daemon/collector.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-func collector(r *router.Router, p *forward.Plane, l *control.Loop, ln *link.Link, files keys.Files) *metrics.Collector {
+func newCollector(r *router.Router, p *forward.Plane, l *control.Loop, ln *link.Link, files keys.Files) *metrics.Collector {
 	m := metrics.New()
 	for _, reason := range router.Reasons() {
 		m.Counter("packets_"+reason.String(), func() uint64 { return r.Count(reason) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of rosedaled together and runs them.
+// Package daemon assembles the components of rosedaled and runs them.
 package daemon
 
 import (
@@ -20,7 +20,8 @@
 	"rosedale.dev/rosedale/internal/store"
 )
 
-// Run runs a balancer until ctx ends, and then stops it gracefully.
+// Run runs a balancer until ctx ends, and then hands its flows over and stops. It returns
+// early if the admin endpoint fails.
 func Run(ctx context.Context, set settings.Settings, log *logging.Logger) error {
 	r := router.New(set.Router())
 	plane, err := forward.New(forward.Config{
@@ -34,14 +35,14 @@
 		return err
 	}
 	defer plane.Close()
-	work, stop := context.WithCancel(context.Background())
+	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	ln, err := listen(work, set, log.Logger)
+	ln, err := openLink(loopCtx, set, log.Logger)
 	if err != nil {
 		return err
 	}
 	loop := control.New(set, log.Logger, r, plane, ln, openStore(set))
-	m := collector(r, plane, loop, ln, set.Keys)
+	m := newCollector(r, plane, loop, ln, set.Keys)
 	m.Counter("log_lines_lost", log.Lost)
 	defer func() { _ = m.Close() }()
 	srv := &http.Server{
@@ -49,22 +50,22 @@
 		Handler:           admin.Handler(loop, r, plane.Now, m.Handler()),
 		ReadHeaderTimeout: 5 * time.Second,
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.ListenAndServe() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.ListenAndServe() }()
 	defer func() { _ = srv.Close() }()
 	plane.Start()
-	go loop.Run(work)
-	go collect(work, m, log)
+	go loop.Run(loopCtx)
+	go collectMetrics(loopCtx, m, log)
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return errors.Wrap(err, "daemon: admin endpoint")
 	case <-ctx.Done():
 	}
-	loop.Leave(work)
+	loop.Leave(loopCtx)
 	return nil
 }
 
-func listen(ctx context.Context, set settings.Settings, log *zap.Logger) (*link.Link, error) {
+func openLink(ctx context.Context, set settings.Settings, log *zap.Logger) (*link.Link, error) {
 	if !set.Control.Listen.IsValid() {
 		return nil, nil
 	}
@@ -74,7 +75,7 @@
 	}
 	go func() {
 		if err := ln.Run(ctx); err != nil {
-			log.Error("control socket", zap.Error(err))
+			log.Error("control socket failed", zap.Error(err))
 		}
 	}()
 	return ln, nil
@@ -87,7 +88,7 @@
 	return store.NewConsul(set.Store.URL, set.Store.Token)
 }
 
-func collect(ctx context.Context, m *metrics.Collector, log *logging.Logger) {
+func collectMetrics(ctx context.Context, m *metrics.Collector, log *logging.Logger) {
 	t := time.NewTicker(metrics.Interval)
 	defer t.Stop()
 	for {
