--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' HTTP endpoint of a daemon: health and
-// readiness, metrics, status, flows and explanations. It changes nothing.
+// Package admin implements the operators' HTTP endpoint of rosedaled: health and
+// readiness, metrics, status, flows and explanations. The endpoint is read-only.
 package admin
 
 import (
@@ -16,18 +16,19 @@
 )
 
 const (
-	// maxFlows bounds one answer of /flows.
+	// maxFlows bounds the number of flows in a response of /flows.
 	maxFlows     = 10000
 	queryTimeout = 2 * time.Second
 )
 
-// Source is the part of the daemon that is shown.
+// Source provides the daemon's state.
 type Source interface {
 	Status(ctx context.Context) (control.Status, error)
 	Ready(ctx context.Context) bool
 }
 
-// Handler returns the endpoint's handler. now is the daemon's clock.
+// Handler returns the endpoint's handler. now is the router's clock: the time since the data
+// path started.
 func Handler(s Source, r *router.Router, now func() time.Duration, metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metrics)
@@ -53,16 +54,16 @@
 			http.Error(w, "control does not answer", http.StatusServiceUnavailable)
 			return
 		}
-		write(w, st)
+		writeJSON(w, st)
 	})
-	mux.HandleFunc("GET /flows", func(w http.ResponseWriter, req *http.Request) { flows(w, req, r, now()) })
-	mux.HandleFunc("GET /explain", func(w http.ResponseWriter, req *http.Request) { explain(w, req, r, now()) })
+	mux.HandleFunc("GET /flows", func(w http.ResponseWriter, req *http.Request) { serveFlows(w, req, r, now()) })
+	mux.HandleFunc("GET /explain", func(w http.ResponseWriter, req *http.Request) { serveExplanation(w, req, r, now()) })
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	return mux
 }
 
-func flows(w http.ResponseWriter, req *http.Request, r *router.Router, now time.Duration) {
+func serveFlows(w http.ResponseWriter, req *http.Request, r *router.Router, now time.Duration) {
 	q := req.URL.Query()
 	limit, err := strconv.Atoi(q.Get("limit"))
 	if err != nil || limit <= 0 || limit > maxFlows {
@@ -72,10 +73,10 @@
 	list := r.FlowList(now, limit, func(f router.FlowInfo) bool {
 		return (target == "" || f.Target == target) && (state == "" || f.State == state)
 	})
-	write(w, list)
+	writeJSON(w, list)
 }
 
-func explain(w http.ResponseWriter, req *http.Request, r *router.Router, now time.Duration) {
+func serveExplanation(w http.ResponseWriter, req *http.Request, r *router.Router, now time.Duration) {
 	q := req.URL.Query()
 	addr, err := netip.ParseAddrPort(q.Get("address"))
 	if err != nil {
@@ -94,10 +95,10 @@
 		http.Error(w, "no service has this address", http.StatusNotFound)
 		return
 	}
-	write(w, x)
+	writeJSON(w, x)
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
