--- a/cmd/rosedale/catalogue.go
+++ b/cmd/rosedale/catalogue.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// withOne returns what a command runs that takes exactly one argument.
-func withOne(what string, f func(ctx context.Context, arg string) error) func(context.Context, []string) error {
+// withOneArg returns the Exec function of a command with exactly one argument, which usage
+// errors call what.
+func withOneArg(what string, f func(ctx context.Context, arg string) error) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
 			return usage("exactly one %s is needed", what)
@@ -42,21 +43,21 @@
 	return &ffcli.Command{
 		Name: "list", ShortUsage: "rosedale catalogue list", ShortHelp: "List the entries.",
 		Exec: func(ctx context.Context, _ []string) error {
-			es, bad, err := a.entries().List(ctx)
+			stored, invalid, err := a.entries().List(ctx)
 			if err != nil {
 				return err
 			}
 			t := newTable("NAME", "OWNER", "NUMBER", "ADDRESSES", "TARGETS", "INDEX")
-			var out []any
-			for _, e := range es {
+			var services []any
+			for _, e := range stored {
 				s := e.Service
 				t.row(s.Name, s.Owner, s.Number, len(s.Addresses), len(s.Targets), e.Index)
-				out = append(out, s)
+				services = append(services, s)
 			}
-			for _, b := range bad {
+			for _, b := range invalid {
 				fmt.Fprintln(os.Stderr, "rosedale: invalid:", b)
 			}
-			return a.print(t, out)
+			return a.print(t, services)
 		},
 	}
 }
@@ -66,8 +67,8 @@
 func (a *app) get() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "get", ShortUsage: "rosedale catalogue get NAME",
-		ShortHelp: "Print an entry as put takes it, with its index in a comment.",
-		Exec: withOne("name", func(ctx context.Context, name string) error {
+		ShortHelp: "Print an entry in the format of put, with its index in a comment.",
+		Exec: withOneArg("name", func(ctx context.Context, name string) error {
 			e, err := a.entries().Get(ctx, name)
 			if err != nil {
 				return err
@@ -81,8 +82,8 @@
 	}
 }
 
-// readEntry reads an entry from a file, or standard input for "-", with the
-// index that get wrote into its first comment.
+// readEntry reads an entry from a file, or from standard input for "-". It returns the index
+// in the comment that get writes on the first line, or 0 if there is none.
 func readEntry(path string) (*catalogue.Service, uint64, error) {
 	var b []byte
 	var err error
@@ -104,11 +105,11 @@
 
 func (a *app) put() *ffcli.Command {
 	fs := flag.NewFlagSet("put", flag.ContinueOnError)
-	index := fs.Uint64("index", 0, "index of the version to replace; 0 takes the file's, or creates")
+	index := fs.Uint64("index", 0, "index of the version to replace; 0 means the file's, or a new entry if it has none")
 	return &ffcli.Command{
 		Name: "put", ShortUsage: "rosedale catalogue put [-index N] FILE", FlagSet: fs,
-		ShortHelp: "Write an entry if nobody changed it since it was read.",
-		Exec: withOne("file", func(ctx context.Context, path string) error {
+		ShortHelp: "Write an entry unless it has changed since it was read.",
+		Exec: withOneArg("file", func(ctx context.Context, path string) error {
 			s, old, err := readEntry(path)
 			if err != nil {
 				return err
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// indexOr returns index, or that of the entry's current version if it is zero.
+// indexOr returns index, or the index of the entry's current version if index is 0.
 func (a *app) indexOr(ctx context.Context, index uint64, name string) (uint64, error) {
 	if index != 0 {
 		return index, nil
@@ -148,11 +149,11 @@
 
 func (a *app) delete() *ffcli.Command {
 	fs := flag.NewFlagSet("delete", flag.ContinueOnError)
-	index := fs.Uint64("index", 0, "index of the version to delete; 0 takes the current one")
+	index := fs.Uint64("index", 0, "index of the version to delete; 0 means the current one")
 	return &ffcli.Command{
 		Name: "delete", ShortUsage: "rosedale catalogue delete [-index N] NAME", FlagSet: fs,
-		ShortHelp: "Delete an entry; its flows go on, new ones are refused.",
-		Exec: withOne("name", func(ctx context.Context, name string) error {
+		ShortHelp: "Delete an entry; its open flows continue, new ones are refused.",
+		Exec: withOneArg("name", func(ctx context.Context, name string) error {
 			old, err := a.indexOr(ctx, *index, name)
 			if err != nil {
 				return err
@@ -165,7 +166,7 @@
 func (a *app) check() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "check", ShortUsage: "rosedale catalogue check FILE...",
-		ShortHelp: "Validate files without a store, also against each other.",
+		ShortHelp: "Validate files, alone and for conflicts between them; needs no store.",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) == 0 {
 				return usage("at least one file is needed")
@@ -191,7 +192,7 @@
 	return &ffcli.Command{
 		Name: "diff", ShortUsage: "rosedale catalogue diff FILE",
 		ShortHelp: "Show what put would change.",
-		Exec: withOne("file", func(ctx context.Context, path string) error {
+		Exec: withOneArg("file", func(ctx context.Context, path string) error {
 			s, _, err := readEntry(path)
 			if err != nil {
 				return err
@@ -208,12 +209,12 @@
 
 func (a *app) wait() *ffcli.Command {
 	fs := flag.NewFlagSet("wait", flag.ContinueOnError)
-	index := fs.Uint64("index", 0, "index to wait for; 0 takes the current one")
+	index := fs.Uint64("index", 0, "index to wait for; 0 means the current one")
 	limit := fs.Duration("timeout", 30*time.Second, "how long to wait")
 	return &ffcli.Command{
 		Name: "wait", ShortUsage: "rosedale catalogue wait [-index N] [-timeout D] NAME", FlagSet: fs,
 		ShortHelp: "Wait until every live balancer has an entry's version in force.",
-		Exec: withOne("name", func(ctx context.Context, name string) error {
+		Exec: withOneArg("name", func(ctx context.Context, name string) error {
 			want, err := a.indexOr(ctx, *index, name)
 			if err != nil {
 				return err
@@ -221,7 +222,7 @@
 			ctx, cancel := context.WithTimeout(ctx, *limit)
 			defer cancel()
 			if err := a.fleet().Wait(ctx, name, want); err != nil {
-				return errors.Wrap(errLate, err.Error())
+				return errors.Wrap(errNotInForce, err.Error())
 			}
 			fmt.Printf("%s is in force everywhere at index %d\n", name, want)
 			return nil
--- a/cmd/rosedale/edge.go
+++ b/cmd/rosedale/edge.go
@@ -15,20 +15,20 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// edge is the group of commands for balancers whose targets answer callers
-// themselves.
+// edge is the group of commands for rosedale-edge balancers, whose targets answer callers
+// directly.
 func (a *app) edge() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "edge", ShortUsage: "rosedale edge <command>",
-		ShortHelp:   "Look at balancers whose targets answer callers themselves.",
+		ShortHelp:   "Inspect balancers whose targets answer callers directly.",
 		Subcommands: []*ffcli.Command{a.edgeStatus(), a.edgeTargets(), a.edgeEvacuations(), a.edgeExplain()},
 		Exec:        func(context.Context, []string) error { return flag.ErrHelp },
 	}
 }
 
-const edgeAdmins = "admin addresses of the balancers, with commas between them"
+const adminsUsage = "admin addresses of the balancers, separated by commas"
 
-func edgesOf(list string) (operator.Edges, error) {
+func parseAdmins(list string) (operator.Edges, error) {
 	if list == "" {
 		return operator.Edges{}, usage("-admins is needed")
 	}
@@ -37,12 +37,12 @@
 
 func (a *app) edgeStatus() *ffcli.Command {
 	fs := flag.NewFlagSet("status", flag.ContinueOnError)
-	admins := fs.String("admins", "", edgeAdmins)
+	admins := fs.String("admins", "", adminsUsage)
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "rosedale edge status -admins A,B", FlagSet: fs,
-		ShortHelp: "Show what each balancer has in force, and how old that is.",
+		ShortHelp: "Show the catalogue version in force and the replica's age at each balancer.",
 		Exec: func(ctx context.Context, _ []string) error {
-			edges, err := edgesOf(*admins)
+			edges, err := parseAdmins(*admins)
 			if err != nil {
 				return err
 			}
@@ -54,22 +54,22 @@
 					continue
 				}
 				x := s.Status
-				t.row(x.VM, x.DataCenter, x.Ready, x.Reading, x.Version, revision.Revision{Era: x.Era, Number: x.Position}, age(x), reach(x.StoreLost), x.Flows, len(x.Peers), "")
+				t.row(x.VM, x.DataCenter, x.Ready, x.Reading, x.Version, revision.Revision{Era: x.Era, Number: x.Position}, replicaAge(x), storeState(x.StoreLost), x.Flows, len(x.Peers), "")
 			}
 			return a.print(t, all)
 		},
 	}
 }
 
-// age says how old a balancer's copy of the store is at most.
-func age(s *edge.Status) string {
+// replicaAge returns the text for the greatest possible age of a balancer's replica.
+func replicaAge(s *edge.Status) string {
 	if s.Position == 0 {
 		return "no copy"
 	}
 	return s.Age.Round(time.Millisecond).String()
 }
 
-func reach(lost bool) string {
+func storeState(lost bool) string {
 	if lost {
 		return "lost"
 	}
@@ -78,13 +78,13 @@
 
 func (a *app) edgeTargets() *ffcli.Command {
 	fs := flag.NewFlagSet("targets", flag.ContinueOnError)
-	admins := fs.String("admins", "", edgeAdmins)
-	differ := fs.Bool("differ", false, "only targets about which the balancers disagree")
+	admins := fs.String("admins", "", adminsUsage)
+	differ := fs.Bool("differ", false, "only targets whose state differs between the balancers")
 	return &ffcli.Command{
 		Name: "targets", ShortUsage: "rosedale edge targets -admins A,B [-differ]", FlagSet: fs,
-		ShortHelp: "Show what each balancer believes of each target.",
+		ShortHelp: "Show the state of each target at each balancer.",
 		Exec: func(ctx context.Context, _ []string) error {
-			edges, err := edgesOf(*admins)
+			edges, err := parseAdmins(*admins)
 			if err != nil {
 				return err
 			}
@@ -110,12 +110,12 @@
 
 func (a *app) edgeEvacuations() *ffcli.Command {
 	fs := flag.NewFlagSet("evacuations", flag.ContinueOnError)
-	admins := fs.String("admins", "", edgeAdmins)
+	admins := fs.String("admins", "", adminsUsage)
 	return &ffcli.Command{
 		Name: "evacuations", ShortUsage: "rosedale edge evacuations -admins A,B", FlagSet: fs,
-		ShortHelp: "Show which data centres get no new flows, and what is left there.",
+		ShortHelp: "Show evacuated data centres, which get no new flows, and their remaining flows.",
 		Exec: func(ctx context.Context, _ []string) error {
-			edges, err := edgesOf(*admins)
+			edges, err := parseAdmins(*admins)
 			if err != nil {
 				return err
 			}
@@ -147,13 +147,13 @@
 
 func (a *app) edgeExplain() *ffcli.Command {
 	fs := flag.NewFlagSet("explain", flag.ContinueOnError)
-	admins := fs.String("admins", "", edgeAdmins)
+	admins := fs.String("admins", "", adminsUsage)
 	caller := fs.String("caller", "", "caller's address and port")
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "rosedale edge explain -admins A,B -caller A:P ADDRESS", FlagSet: fs,
 		ShortHelp: "Show what each balancer would do with a flow's packets.",
-		Exec: withOne("service address", func(ctx context.Context, addr string) error {
-			edges, err := edgesOf(*admins)
+		Exec: withOneArg("service address", func(ctx context.Context, addr string) error {
+			edges, err := parseAdmins(*admins)
 			if err != nil {
 				return err
 			}
--- a/cmd/rosedale/edge_test.go
+++ b/cmd/rosedale/edge_test.go
@@ -12,7 +12,8 @@
 	"rosedale.dev/rosedale/internal/edge"
 )
 
-// fakeEdge answers as a balancer that believes one target to be in a state.
+// fakeEdge starts an admin endpoint that reports target a1 in the given state, and returns
+// its address.
 func fakeEdge(t *testing.T, vm, state string) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -41,7 +42,7 @@
 		{exitUsage, "edge explain -admins " + admins + " -caller 1.2.3.4:5"},
 		{exitUsage, "edge explain -admins " + admins + " -caller x 1.2.3.4:5"},
 		{exitOK, "edge explain -admins " + admins + " -caller 1.2.3.4:5 198.18.0.1:443"},
-		{exitOK, "edge status -admins 127.0.0.1:1"}, // an answer that is missing is shown as such
+		{exitOK, "edge status -admins 127.0.0.1:1"}, // failed queries are shown in the table
 	} {
 		if got := exitCode(root().ParseAndRun(context.Background(), strings.Fields(c.args))); got != c.want {
 			t.Errorf("%s: exit code %d, want %d", c.args, got, c.want)
--- a/cmd/rosedale/edit.go
+++ b/cmd/rosedale/edit.go
@@ -11,19 +11,19 @@
 	"rosedale.dev/rosedale/internal/catalogue"
 )
 
-// changes are the edits that flags describe.
+// changes holds the edits given by flags.
 type changes struct {
 	slots, connections int
 	weight             float64
-	states             multi
-	add, remove        multi
+	states             stringList
+	add, remove        stringList
 }
 
-// multi is a flag that may be given several times.
-type multi []string
+// stringList is the value of a repeatable flag.
+type stringList []string
 
-func (m *multi) String() string     { return strings.Join(*m, ",") }
-func (m *multi) Set(s string) error { *m = append(*m, s); return nil }
+func (m *stringList) String() string     { return strings.Join(*m, ",") }
+func (m *stringList) Set(s string) error { *m = append(*m, s); return nil }
 
 func (a *app) edit() *ffcli.Command {
 	var c changes
@@ -37,7 +37,7 @@
 	return &ffcli.Command{
 		Name: "edit", ShortUsage: "rosedale catalogue edit [flags] NAME", FlagSet: fs,
 		ShortHelp: "Change fields of an entry in one compare-and-swap.",
-		Exec: withOne("name", func(ctx context.Context, name string) error {
+		Exec: withOneArg("name", func(ctx context.Context, name string) error {
 			e, err := a.entries().Get(ctx, name)
 			if err != nil {
 				return err
@@ -61,7 +61,7 @@
 		s.BrokenFlowWeight = c.weight
 	}
 	for _, f := range []struct {
-		list multi
+		list stringList
 		do   func(*catalogue.Service, netip.Addr, string) error
 	}{{c.add, addTarget}, {c.states, setState}, {c.remove, removeTarget}} {
 		for _, x := range f.list {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func find(s *catalogue.Service, a netip.Addr) int {
+func findTarget(s *catalogue.Service, a netip.Addr) int {
 	for i, t := range s.Targets {
 		if t.Address == a {
 			return i
@@ -88,7 +88,7 @@
 }
 
 func addTarget(s *catalogue.Service, a netip.Addr, dc string) error {
-	if find(s, a) >= 0 {
+	if findTarget(s, a) >= 0 {
 		return usage("%s is a target of %s already", a, s.Name)
 	}
 	s.Targets = append(s.Targets, catalogue.Target{Address: a, DataCenter: dc, State: catalogue.Active})
@@ -96,7 +96,7 @@
 }
 
 func setState(s *catalogue.Service, a netip.Addr, state string) error {
-	i := find(s, a)
+	i := findTarget(s, a)
 	if i < 0 {
 		return usage("%s is no target of %s", a, s.Name)
 	}
@@ -105,7 +105,7 @@
 }
 
 func removeTarget(s *catalogue.Service, a netip.Addr, _ string) error {
-	i := find(s, a)
+	i := findTarget(s, a)
 	if i < 0 {
 		return usage("%s is no target of %s", a, s.Name)
 	}
@@ -118,8 +118,8 @@
 	undo := fs.Bool("undo", false, "make the target active again")
 	return &ffcli.Command{
 		Name: "drain", ShortUsage: "rosedale drain [-undo] TARGET", FlagSet: fs,
-		ShortHelp: "Let a target keep its flows and take no new ones, in every service.",
-		Exec: withOne("target address", func(ctx context.Context, text string) error {
+		ShortHelp: "Stop new flows to a target in every service; open ones continue.",
+		Exec: withOneArg("target address", func(ctx context.Context, text string) error {
 			addr, err := netip.ParseAddr(text)
 			if err != nil {
 				return usage("%q is not an address", text)
@@ -134,13 +134,13 @@
 }
 
 func (a *app) drainTarget(ctx context.Context, addr netip.Addr, state catalogue.TargetState) error {
-	es, _, err := a.entries().List(ctx)
+	stored, _, err := a.entries().List(ctx)
 	if err != nil {
 		return err
 	}
 	found := false
-	for _, e := range es {
-		if find(e.Service, addr) < 0 {
+	for _, e := range stored {
+		if findTarget(e.Service, addr) < 0 {
 			continue
 		}
 		found = true
--- a/cmd/rosedale/exit.go
+++ b/cmd/rosedale/exit.go
@@ -11,7 +11,7 @@
 	"rosedale.dev/rosedale/internal/store"
 )
 
-// Exit codes, which rootHelp documents.
+// Exit codes, documented in rootHelp.
 const (
 	exitOK = iota
 	exitFailure
@@ -20,11 +20,11 @@
 	exitConflict
 	exitUnknown
 	exitInvalid
-	exitLate
+	exitNotInForce
 	exitNotWritten
 )
 
-// usageError is an error in how the command was called.
+// usageError is an error in the command's arguments.
 type usageError struct{ error }
 
 func usage(format string, args ...any) error {
@@ -34,11 +34,11 @@
 func exitCode(err error) int {
 	var conflict *operator.Conflict
 	var field *catalogue.FieldError
-	var use usageError
+	var usageErr usageError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, flag.ErrHelp), errors.As(err, &use):
+	case errors.Is(err, flag.ErrHelp), errors.As(err, &usageErr):
 		return exitUsage
 	case errors.As(err, &conflict):
 		return exitConflict
@@ -50,10 +50,10 @@
 		return exitUnknown
 	case errors.Is(err, operator.ErrNotWritten):
 		return exitNotWritten
-	case errors.Is(err, errLate), errors.Is(err, context.DeadlineExceeded):
-		return exitLate
+	case errors.Is(err, errNotInForce), errors.Is(err, context.DeadlineExceeded):
+		return exitNotInForce
 	}
 	return exitFailure
 }
 
-var errLate = errors.New("not in force in time")
+var errNotInForce = errors.New("not in force in time")
--- a/cmd/rosedale/keys.go
+++ b/cmd/rosedale/keys.go
@@ -23,7 +23,7 @@
 
 func keysCommand() *ffcli.Command {
 	return &ffcli.Command{
-		Name: "keys", ShortUsage: "rosedale keys <ca|vm>", ShortHelp: "Make a deployment's authority and its VMs' certificates.",
+		Name: "keys", ShortUsage: "rosedale keys <ca|vm>", ShortHelp: "Create the certificate authority of a deployment and its VMs' certificates.",
 		Subcommands: []*ffcli.Command{caCommand(), vmCommand()},
 		Exec:        func(context.Context, []string) error { return flag.ErrHelp },
 	}
@@ -35,8 +35,8 @@
 	days := fs.Int("days", 3650, "validity in days")
 	return &ffcli.Command{
 		Name: "ca", ShortUsage: "rosedale keys ca [-dir D] [-days N] DEPLOYMENT", FlagSet: fs,
-		ShortHelp: "Make the authority of a deployment.",
-		Exec: withOne("deployment name", func(_ context.Context, name string) error {
+		ShortHelp: "Create the certificate authority of a deployment.",
+		Exec: withOneArg("deployment name", func(_ context.Context, name string) error {
 			p, err := keys.NewAuthority(name, time.Duration(*days)*day, time.Now())
 			if err != nil {
 				return err
@@ -52,7 +52,7 @@
 	days := fs.Int("days", 90, "validity in days")
 	return &ffcli.Command{
 		Name: "vm", ShortUsage: "rosedale keys vm [-dir D] [-days N] NAME...", FlagSet: fs,
-		ShortHelp: "Make certificates of VMs, signed by the authority.",
+		ShortHelp: "Create certificates of VMs, signed by the authority.",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) == 0 {
 				return usage("at least one VM name is needed")
@@ -79,19 +79,19 @@
 	}
 }
 
-// save writes a pair without replacing files that exist.
+// save writes a pair to new files. It fails if one of them exists.
 func save(p keys.Pair, cert, key string) error {
 	for _, f := range []struct {
 		path string
 		data []byte
 		mode os.FileMode
 	}{{cert, p.Cert, publicMode}, {key, p.Key, secretMode}} {
-		h, err := os.OpenFile(f.path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, f.mode)
+		file, err := os.OpenFile(f.path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, f.mode)
 		if err != nil {
 			return errors.Wrap(err, "keys")
 		}
-		_, err = h.Write(f.data)
-		if cerr := h.Close(); err == nil {
+		_, err = file.Write(f.data)
+		if cerr := file.Close(); err == nil {
 			err = cerr
 		}
 		if err != nil {
--- a/cmd/rosedale/main.go
+++ b/cmd/rosedale/main.go
@@ -1,5 +1,5 @@
-// Command rosedale is the operators' command line: it edits the catalogue in
-// the platform's store and shows what the balancers do.
+// Command rosedale is the operators' command-line tool: it edits the catalogue in
+// the platform's store and shows the state of the balancers.
 package main
 
 import (
--- a/cmd/rosedale/main_test.go
+++ b/cmd/rosedale/main_test.go
@@ -10,12 +10,12 @@
 	"rosedale.dev/rosedale/internal/standin/platform"
 )
 
-func exec(t *testing.T, url string, args ...string) int {
+func run(t *testing.T, url string, args ...string) int {
 	t.Helper()
 	return exitCode(root().ParseAndRun(context.Background(), append([]string{"-store", url}, args...)))
 }
 
-// Scripts act on exit codes: each documented outcome has its own.
+// Scripts depend on exit codes: each documented outcome has its own.
 func TestExitCodes(t *testing.T) {
 	srv := httptest.NewServer(platform.New().Handler())
 	defer srv.Close()
@@ -35,7 +35,7 @@
 		{exitOK, []string{"catalogue", "check", example}},
 		{exitInvalid, []string{"catalogue", "put", bad}},
 		{exitOK, []string{"catalogue", "put", example}},
-		{exitConflict, []string{"catalogue", "put", example}}, // would create what exists
+		{exitConflict, []string{"catalogue", "put", example}}, // the entry exists
 		{exitConflict, []string{"catalogue", "put", "-index", "3", example}},
 		{exitOK, []string{"catalogue", "diff", example}},
 		{exitOK, []string{"-o", "json", "catalogue", "list"}},
@@ -49,25 +49,25 @@
 		{exitOK, []string{"catalogue", "delete", "catalogue"}},
 		{exitNotFound, []string{"catalogue", "delete", "catalogue"}},
 	} {
-		if got := exec(t, srv.URL, c.args...); got != c.want {
+		if got := run(t, srv.URL, c.args...); got != c.want {
 			t.Errorf("%v: exit code %d, want %d", c.args, got, c.want)
 		}
 	}
 	srv.Close()
-	if got := exec(t, srv.URL, "catalogue", "list"); got != exitFailure {
+	if got := run(t, srv.URL, "catalogue", "list"); got != exitFailure {
 		t.Errorf("without a store: exit code %d", got)
 	}
 }
 
 func TestKeysAreNotReplaced(t *testing.T) {
 	dir := t.TempDir()
-	if got := exec(t, "", "keys", "ca", "-dir", dir, "kavango"); got != exitOK {
+	if got := run(t, "", "keys", "ca", "-dir", dir, "kavango"); got != exitOK {
 		t.Fatal(got)
 	}
-	if got := exec(t, "", "keys", "vm", "-dir", dir, "vault-a-1"); got != exitOK {
+	if got := run(t, "", "keys", "vm", "-dir", dir, "vault-a-1"); got != exitOK {
 		t.Fatal(got)
 	}
-	if got := exec(t, "", "keys", "ca", "-dir", dir, "kavango"); got == exitOK {
-		t.Fatal("an authority was replaced")
+	if got := run(t, "", "keys", "ca", "-dir", dir, "kavango"); got == exitOK {
+		t.Fatal("an existing authority was replaced")
 	}
 }
--- a/cmd/rosedale/output.go
+++ b/cmd/rosedale/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// table collects rows for aligned output.
+// table collects tab-separated rows for aligned output.
 type table struct {
 	rows []string
 }
@@ -18,11 +18,11 @@
 }
 
 func (t *table) row(cells ...any) {
-	var s []string
+	var texts []string
 	for _, c := range cells {
-		s = append(s, fmt.Sprint(c))
+		texts = append(texts, fmt.Sprint(c))
 	}
-	t.rows = append(t.rows, strings.Join(s, "\t"))
+	t.rows = append(t.rows, strings.Join(texts, "\t"))
 }
 
 // print writes the table, or v as JSON.
--- a/cmd/rosedale/show.go
+++ b/cmd/rosedale/show.go
@@ -39,7 +39,7 @@
 	fs := flag.NewFlagSet("flows", flag.ContinueOnError)
 	target := fs.String("target", "", "only flows of this target")
 	state := fs.String("state", "", "only flows in this state")
-	limit := fs.Int("limit", 100, "at most this many")
+	limit := fs.Int("limit", 100, "maximum number of flows")
 	return &ffcli.Command{
 		Name: "flows", ShortUsage: "rosedale flows [-target A] [-state S] [-limit N]", FlagSet: fs,
 		ShortHelp: "Show flows that one balancer knows.",
@@ -64,7 +64,7 @@
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "rosedale explain [-caller A:P] ADDRESS", FlagSet: fs,
 		ShortHelp: "Show which target a new flow would get, and why.",
-		Exec: withOne("service address", func(ctx context.Context, addr string) error {
+		Exec: withOneArg("service address", func(ctx context.Context, addr string) error {
 			x, err := a.explainAtHome(ctx, url.Values{"address": {addr}, "caller": {*caller}})
 			if err != nil {
 				return err
@@ -82,7 +82,7 @@
 	}
 }
 
-// explainAtHome asks the flow's home, whose counts decide.
+// explainAtHome queries the flow's home, whose load counts determine the choice.
 func (a *app) explainAtHome(ctx context.Context, q url.Values) (router.Explanation, error) {
 	var x router.Explanation
 	if err := a.fleet().Get(ctx, a.admin, "/explain", q, &x); err != nil || x.IsHome {
--- a/cmd/rosedale/snapshot.go
+++ b/cmd/rosedale/snapshot.go
@@ -15,7 +15,7 @@
 	path := fs.String("file", "rosedale-snapshot.zip", "archive to write; it must not exist")
 	return &ffcli.Command{
 		Name: "snapshot", ShortUsage: "rosedale snapshot [-file F]", FlagSet: fs,
-		ShortHelp: "Save what every live balancer says of itself, for whoever looks into a failure.",
+		ShortHelp: "Save the state of every live balancer in an archive, to investigate a failure.",
 		Exec: func(ctx context.Context, _ []string) error {
 			f, err := os.OpenFile(*path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, secretMode)
 			if err != nil {
