--- a/cmd/rosedale-edge/main.go
+++ b/cmd/rosedale-edge/main.go
@@ -1,5 +1,5 @@
-// Command rosedale-edge is the load balancer on a platform whose targets answer
-// their callers themselves: every entry VM runs one.
+// Command rosedale-edge is the load balancer for platforms whose targets answer
+// callers directly. Every entry VM runs one.
 package main
 
 import (
@@ -23,19 +23,19 @@
 func main() { cli.Main("rosedale-edge", run) }
 
 func run(args []string) error {
-	// First of all: a signal that comes before would end the process.
+	// Registered first, since SIGHUP without a handler would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	fs := flag.NewFlagSet("rosedale-edge", flag.ContinueOnError)
 	config := fs.String("config", os.Getenv(platform.BootVariable), "the platform's settings file")
 	check := fs.Bool("check", false, "check the settings and exit")
-	without := fs.String("without", "", "mechanisms to switch off, separated by commas; help lists them")
+	without := fs.String("without", "", "features to switch off, separated by commas; help lists them")
 	level := fs.String("log-level", "info", "debug, info, warn or error")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("ROSEDALE_EDGE")); err != nil {
 		return err
 	}
 	if *without == "help" {
-		listMechanisms()
+		printMechanisms()
 		return nil
 	}
 	off, err := direct.ParseMechanisms(*without)
@@ -64,7 +64,7 @@
 	return edge.Run(ctx, boot, off, log)
 }
 
-func listMechanisms() {
+func printMechanisms() {
 	for _, m := range direct.Mechanisms() {
 		fmt.Printf("%-16s %s\n", m, m.Describe())
 	}
--- a/cmd/rosedale-edge/main_test.go
+++ b/cmd/rosedale-edge/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An operator checks a settings file before a VM starts with it.
+// -check validates a settings file and names the invalid field.
 func TestCheck(t *testing.T) {
 	good := `{"nodeName":"a","zone":"z","listen":{"datagramAddr":"127.0.0.1:1","readyAddr":"127.0.0.1:2","control":"127.0.0.1:3"},
 "heartbeatIntervalMs":1200,"bounds":{"drainMs":3000,"graceS":6,"configApplyMs":3000,"flowMaxS":60},"platform":{"address":"127.0.0.1:4"}}`
@@ -25,10 +25,10 @@
 		}
 	}
 	if err := run([]string{"-without", "help"}); err != nil {
-		t.Errorf("list of mechanisms: %v", err)
+		t.Errorf("list of features: %v", err)
 	}
 	if err := run([]string{"-check", "-config", file, "-without", "spil"}); err == nil || !strings.Contains(err.Error(), `"spil"`) {
-		t.Errorf("a misspelt mechanism: %v", err)
+		t.Errorf("a misspelt feature: %v", err)
 	}
 	if err := run([]string{"-config", filepath.Join(t.TempDir(), "none")}); err == nil {
 		t.Error("a missing file was accepted")
