--- a/cmd/rosedaled/main.go
+++ b/cmd/rosedaled/main.go
@@ -1,4 +1,5 @@
-// Command rosedaled is the load balancer: every entry VM runs one.
+// Command rosedaled is the load balancer for platforms whose targets answer callers through
+// the balancers. Every entry VM runs one.
 package main
 
 import (
@@ -21,7 +22,8 @@
 
 func main() { cli.Main("rosedaled", run) }
 
-// overrides are the settings that flags and ROSEDALED_* variables replace.
+// overrides holds the settings given by flags and ROSEDALED_* variables; empty ones keep the
+// file's value.
 type overrides struct {
 	name, dataCenter, data, control, admin, store, folder, level string
 }
