--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin runs the small stand-ins that the demo, the tests and the
-// measurements use in place of the platform, the fabric, targets and callers.
+// Command standin runs the stand-ins that the demos, the tests and the measurements
+// use in place of the platform, the fabric, targets and callers, and runs the demos
+// and measurements themselves.
 package main
 
 import (
@@ -21,10 +22,10 @@
 	"rosedale.dev/rosedale/internal/standin/target"
 )
 
-// role is what a standin process does until its context ends.
+// role is the function of a standin process. It returns when it is done or ctx ends.
 type role func(ctx context.Context, args []string) error
 
-// services run until they are told to stop.
+// services run until SIGINT or SIGTERM, which ends their context.
 var services = map[string]role{
 	"platform":   platform.Main,
 	"fabric":     fabric.Main,
@@ -33,8 +34,8 @@
 	"faultproxy": faultproxy.Main,
 }
 
-// tools run to their end. A signal ends them at once, and with them the
-// processes that they started.
+// tools run to completion. A signal ends them at once, together with the processes
+// that they started.
 var tools = map[string]role{
 	"demo":      experiment.Demo,
 	"edge-demo": edgedemo.Main,
