--- a/cmd/rosedale/edit.go
+++ b/cmd/rosedale/edit.go
@@ -89,7 +89,7 @@
 
 func addTarget(s *catalogue.Service, a netip.Addr, dc string) error {
 	if findTarget(s, a) >= 0 {
-		return usage("%s is a target of %s already", a, s.Name)
+		return usage("%s is already a target of %s", a, s.Name)
 	}
 	s.Targets = append(s.Targets, catalogue.Target{Address: a, DataCenter: dc, State: catalogue.Active})
 	return nil
@@ -98,7 +98,7 @@
 func setState(s *catalogue.Service, a netip.Addr, state string) error {
 	i := findTarget(s, a)
 	if i < 0 {
-		return usage("%s is no target of %s", a, s.Name)
+		return usage("%s is not a target of %s", a, s.Name)
 	}
 	s.Targets[i].State = catalogue.TargetState(state)
 	return nil
@@ -107,7 +107,7 @@
 func removeTarget(s *catalogue.Service, a netip.Addr, _ string) error {
 	i := findTarget(s, a)
 	if i < 0 {
-		return usage("%s is no target of %s", a, s.Name)
+		return usage("%s is not a target of %s", a, s.Name)
 	}
 	s.Targets = append(s.Targets[:i], s.Targets[i+1:]...)
 	return nil
--- a/internal/operator/edge.go
+++ b/internal/operator/edge.go
@@ -12,7 +12,7 @@
 
 // Edges queries rosedale-edge balancers, whose targets answer callers directly.
 type Edges struct {
-	Admins []string // their admin addresses
+	Admins []string // admin addresses of the balancers
 }
 
 // EdgeStatus is one balancer's status, or the error of the query.
--- a/internal/store/consul.go
+++ b/internal/store/consul.go
@@ -57,8 +57,9 @@
 	return resp, errors.Wrapf(err, "store: %s %s at %s", method, key, c.base)
 }
 
-// jitteredWatchTime returns a random wait of at most WatchTime, so that watches that began
-// together, as after a restart of a whole data centre, are not all renewed at the same time.
+// jitteredWatchTime returns a random wait between three quarters of WatchTime and WatchTime,
+// so that watches that began together, as after a restart of a whole data centre, are not all
+// renewed at the same time.
 func jitteredWatchTime() time.Duration { return WatchTime - rand.N(WatchTime/4) }
 
 // Get implements Store.
--- a/internal/store/consul_test.go
+++ b/internal/store/consul_test.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/store"
 )
 
-func standin(t *testing.T) (*store.Consul, string) {
+func newTestStore(t *testing.T) (*store.Consul, string) {
 	t.Helper()
 	s := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(s.Close)
@@ -23,7 +23,7 @@
 // second gets ErrConflict, and so does a delete of the old version.
 func TestOneOfTwoWritersWins(t *testing.T) {
 	ctx := context.Background()
-	c, _ := standin(t)
+	c, _ := newTestStore(t)
 	if err := c.Swap(ctx, "k", []byte("first"), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 // ErrConflict, which would mean that nothing was written.
 func TestLostResponseIsNotAConflict(t *testing.T) {
 	ctx := context.Background()
-	c, url := standin(t)
+	c, url := newTestStore(t)
 	resp, err := http.Post(url+"/faults", "application/json", strings.NewReader(`{"loseAnswers":1}`))
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 // keys yields an empty listing and no error.
 func TestWatchReturnsOnChange(t *testing.T) {
 	ctx := context.Background()
-	c, _ := standin(t)
+	c, _ := newTestStore(t)
 	if err := c.Swap(ctx, "elsewhere", []byte("v"), 0); err != nil {
 		t.Fatal(err)
 	}
