--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -120,8 +120,8 @@
 
 // reset ends a flow at its caller.
 func (p *packets) reset(seg *direct.Segment) {
-	var b [platform.HeadSize]byte
-	platform.Reset(b[:], seg)
+	var b [platform.HeaderSize]byte
+	platform.PutReset(b[:], seg)
 	p.send(b[:], netip.AddrPortFrom(seg.Caller.Addr(), p.edge.boot.Data.Port()))
 }
 
