--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -69,7 +69,7 @@
 		if !ok {
 			t.Fatalf("no room for %d", i)
 		}
-		p.Hold(id, Slot)
+		p.Acquire(id, Slot)
 	}
 	if _, ok := p.Choose(0, Slot, 1, nil); ok {
 		t.Fatal("a seventh got a slot of six")
@@ -82,7 +82,7 @@
 	p := testPool(4, 2)
 	for i := range 400 {
 		id, _ := p.Choose(0, Connection, uint64(i)*7919, nil)
-		p.Hold(id, Connection)
+		p.Acquire(id, Connection)
 	}
 	ts := []Target{}
 	for _, s := range p.list {
@@ -93,7 +93,7 @@
 	for i := range 100 {
 		now := time.Second + time.Duration(i)*10*time.Millisecond
 		id, _ := p.Choose(now, Connection, uint64(i)*104729, nil)
-		p.Hold(id, Connection)
+		p.Acquire(id, Connection)
 	}
 	if n := p.Used(9, Connection); n == 0 || n > 12 {
 		t.Fatalf("the cold target got %d of 100 flows in its first second", n)
@@ -116,7 +116,7 @@
 	}
 	for id := range uint32(4) {
 		for range 100 {
-			p.Hold(id+1, Connection)
+			p.Acquire(id+1, Connection)
 		}
 	}
 	now := time.Duration(0)
@@ -142,7 +142,7 @@
 // openings sent there meanwhile would be refused.
 func TestTargetLeftBehindKeepsItsSlot(t *testing.T) {
 	p := testPool(1, 1)
-	p.Hold(1, Slot)
+	p.Acquire(1, Slot)
 	p.ReleaseLater(0, 1, Slot)
 	p.Pass(time.Second)
 	if _, ok := p.Choose(time.Second, Slot, 1, nil); ok {
--- a/internal/balance/hopeless_test.go
+++ b/internal/balance/hopeless_test.go
@@ -15,13 +15,13 @@
 
 // work keeps the two slots of target 1 busy with requests of 100 ms until then.
 func work(p *Pool, until time.Duration) time.Duration {
-	p.Hold(1, Slot)
-	p.Hold(1, Slot)
+	p.Acquire(1, Slot)
+	p.Acquire(1, Slot)
 	now := time.Duration(0)
 	for ; now < until; now += 50 * time.Millisecond {
 		p.Pass(now)
 		p.Release(1, Slot)
-		p.Hold(1, Slot)
+		p.Acquire(1, Slot)
 	}
 	p.Pass(now)
 	return now
@@ -95,8 +95,8 @@
 // is anyone at once when those two pause for a moment as well.
 func TestHangingSlotsTakeNoHope(t *testing.T) {
 	p := testPool(2, 2)
-	p.Hold(2, Slot)
-	p.Hold(2, Slot)
+	p.Acquire(2, Slot)
+	p.Acquire(2, Slot)
 	now := work(p, 30*time.Second)
 	for i := range uint32(100) {
 		p.Queue.Push(waiter(i+1, false, now+time.Second))
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -178,8 +178,8 @@
 	return false
 }
 
-// Hold accounts for a flow of unit u at target id.
-func (p *Pool) Hold(id uint32, u Unit) {
+// Acquire accounts for a flow of unit u at target id.
+func (p *Pool) Acquire(id uint32, u Unit) {
 	s := p.byID[id]
 	if s == nil {
 		s = &state{Target: Target{ID: id}}
--- a/internal/experiment/policysim.go
+++ b/internal/experiment/policysim.go
@@ -84,7 +84,7 @@
 	if !ok {
 		return
 	}
-	s.pools[h].Hold(id, balance.Connection)
+	s.pools[h].Acquire(id, balance.Connection)
 	s.opened[id-1]++
 	if id == s.pools[h].First(key) {
 		s.first++
--- a/internal/router/entries.go
+++ b/internal/router/entries.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if p := r.pools[service]; p != nil {
-		p.Hold(e.Target, u)
+		p.Acquire(e.Target, u)
 		e.Flags |= flow.Counted
 	}
 }
