--- a/internal/balance/hopeless.go
+++ b/internal/balance/hopeless.go
@@ -22,14 +22,14 @@
 	}
 }
 
-// Hopeless returns the waiters for slots that will not be admitted in time at
+// WillMissDeadline returns the waiters for slots that will not be admitted in time at
 // the pace of the last seconds.
 //
 // Failure: callers ask for more than the slots can do. It shows as a queue in
 // which everyone waits until the deadline, and those who are refused learn it
 // only then. Whoever cannot be admitted in time is refused while it can still
 // ask elsewhere or come back later.
-func (p *Pool) Hopeless(now time.Duration) []Waiter {
+func (p *Pool) WillMissDeadline(now time.Duration) []Waiter {
 	rate := p.pace.rate()
 	if rate == 0 || p.Queue.Len() == 0 || p.limit() == 0 {
 		return nil // nothing is known, or targets may come back
--- a/internal/balance/hopeless_test.go
+++ b/internal/balance/hopeless_test.go
@@ -35,7 +35,7 @@
 	for i := range uint32(100) {
 		p.Queue.Push(waiter(i+1, false, now+time.Second))
 	}
-	out := p.Hopeless(now)
+	out := p.WillMissDeadline(now)
 	if n := 100 - len(out); n < 16 || n > 18 {
 		t.Fatalf("%d of 100 waiters keep hope, want 17", n)
 	}
@@ -61,7 +61,7 @@
 		p.Queue.Push(waiter(i+201, true, now+time.Second))
 	}
 	others := 0
-	for _, w := range p.Hopeless(now) {
+	for _, w := range p.WillMissDeadline(now) {
 		if w.Urgent {
 			t.Fatalf("hold %d was given up", w.Key.Port)
 		}
@@ -79,13 +79,13 @@
 	for i := range uint32(100) {
 		p.Queue.Push(waiter(i+1, false, time.Second))
 	}
-	if n := len(p.Hopeless(0)); n > 0 {
+	if n := len(p.WillMissDeadline(0)); n > 0 {
 		t.Fatalf("%d waiters were given up", n)
 	}
 	p, now := busyPool()
 	p.Update(now, 1, []Target{{ID: 1, Limit: [units]int{2000, 2}}})
 	p.Queue.Push(waiter(1, false, now+time.Millisecond))
-	if n := len(p.Hopeless(now)); n > 0 {
+	if n := len(p.WillMissDeadline(now)); n > 0 {
 		t.Fatal("a waiter was given up while targets may come back")
 	}
 }
@@ -103,7 +103,7 @@
 	}
 	for _, pause := range []time.Duration{0, time.Second} {
 		p.Pass(now + pause)
-		if n := 100 - len(p.Hopeless(now)); n < 16 || n > 20 {
+		if n := 100 - len(p.WillMissDeadline(now)); n < 16 || n > 20 {
 			t.Fatalf("after %v %d of 100 waiters keep hope, want 17", pause, n)
 		}
 	}
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -201,7 +201,7 @@
 
 // refuseHopeless refuses those who wait in vain, at once.
 func (r *Router) refuseHopeless(now time.Duration, p *pool, out *Output) {
-	for _, w := range p.Hopeless(now) {
+	for _, w := range p.WillMissDeadline(now) {
 		r.refuse(now, w.Key, RefuseTooLate, out)
 	}
 }
