--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -144,11 +144,11 @@
 	p := testPool(1, 1)
 	p.Acquire(1, Slot)
 	p.ReleaseLater(0, 1, Slot)
-	p.Pass(time.Second)
+	p.Advance(time.Second)
 	if _, ok := p.Choose(time.Second, Slot, 1, nil); ok {
 		t.Fatal("the slot was given away at once")
 	}
-	p.Pass(leftPause)
+	p.Advance(leftPause)
 	if _, ok := p.Choose(leftPause, Slot, 1, nil); !ok {
 		t.Fatal("the slot never came back")
 	}
--- a/internal/balance/hopeless.go
+++ b/internal/balance/hopeless.go
@@ -11,9 +11,9 @@
 // that refusing the others at once costs no work.
 const hopeShare = 0.9
 
-// Pass notes the time, by which requests' use of slots is measured and targets
+// Advance notes the time, by which requests' use of slots is measured and targets
 // left behind are released. It should be called every few tens of milliseconds.
-func (p *Pool) Pass(now time.Duration) {
+func (p *Pool) Advance(now time.Duration) {
 	p.releaseLeft(now)
 	if p.pace.active(p.slots) {
 		p.pace.pass(now, p.slots, p.limit())
--- a/internal/balance/hopeless_test.go
+++ b/internal/balance/hopeless_test.go
@@ -19,11 +19,11 @@
 	p.Acquire(1, Slot)
 	now := time.Duration(0)
 	for ; now < until; now += 50 * time.Millisecond {
-		p.Pass(now)
+		p.Advance(now)
 		p.Release(1, Slot)
 		p.Acquire(1, Slot)
 	}
-	p.Pass(now)
+	p.Advance(now)
 	return now
 }
 
@@ -102,7 +102,7 @@
 		p.Queue.Push(waiter(i+1, false, now+time.Second))
 	}
 	for _, pause := range []time.Duration{0, time.Second} {
-		p.Pass(now + pause)
+		p.Advance(now + pause)
 		if n := 100 - len(p.WillMissDeadline(now)); n < 16 || n > 20 {
 			t.Fatalf("after %v %d of 100 waiters keep hope, want 17", pause, n)
 		}
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -37,7 +37,7 @@
 
 func (r *Router) expireWaiters(now time.Duration, out *Output) {
 	for _, p := range r.pools {
-		p.Pass(now)
+		p.Advance(now)
 		if p.Queue.Len() == 0 {
 			continue
 		}
