--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -218,10 +218,10 @@
 // unanswered gets no new ones.
 const lostPauseMax = 10 * time.Second
 
-// Lost notes that target id left an opening unanswered. Each further one
+// Unanswered notes that target id left an opening unanswered. Each further one
 // doubles the pause: a target that is down gets a new opening now and then,
 // whatever its health endpoint says.
-func (p *Pool) Lost(now time.Duration, id uint32) {
+func (p *Pool) Unanswered(now time.Duration, id uint32) {
 	if s := p.byID[id]; s != nil {
 		s.shedUntil = now + min(ShedPause<<min(s.lost, 8), lostPauseMax)
 		s.lost++
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -66,7 +66,7 @@
 		return
 	}
 	r.decide(now, RetryTimeout, e, out)
-	p.Lost(now, e.Target)
+	p.Unanswered(now, e.Target)
 	o.exclude(e.Target)
 	r.releaseLater(now, e, o.addr.Service, o.addr.Unit())
 	r.place(now, v, e, o, out)
