--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// Room reports whether target id can take one more unit.
-func (p *Pool) Room(id uint32, u Unit) bool {
+// HasRoom reports whether target id can take one more unit.
+func (p *Pool) HasRoom(id uint32, u Unit) bool {
 	s := p.byID[id]
 	return s != nil && s.room(u, p.homes)
 }
--- a/internal/router/former.go
+++ b/internal/router/former.go
@@ -163,7 +163,7 @@
 //
 // Only the caller knows whether it took a refusal: it resets the connection if it did.
 func (c *call) acceptedWithoutTarget(e *flow.Entry, id uint32) bool {
-	if !c.seg.IsAccept() || c.seg.Ack != e.Seq+1 || !c.r.pools[c.addr.Service].Room(id, c.addr.Unit()) {
+	if !c.seg.IsAccept() || c.seg.Ack != e.Seq+1 || !c.r.pools[c.addr.Service].HasRoom(id, c.addr.Unit()) {
 		return false
 	}
 	switch o := c.r.openings[c.key]; e.State {
