--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -13,7 +13,7 @@
 	Urgent   bool
 	Arrived  time.Duration
 	Deadline time.Duration
-	After    time.Duration // not to be admitted before, after a refused try
+	NotBefore    time.Duration // not to be admitted before, after a refused try
 }
 
 // Queue is a bounded list of waiters. Urgent waiters go first, each class by
@@ -64,7 +64,7 @@
 func (q *Queue) Next(now time.Duration, u Unit) (Waiter, bool) {
 	best, oldest := -1, -1
 	for i, w := range q.waiters {
-		if w.Unit != u || w.After > now {
+		if w.Unit != u || w.NotBefore > now {
 			continue
 		}
 		if best < 0 || w.ahead(q.waiters[best]) {
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -185,7 +185,7 @@
 		Urgent:   o.addr.Class == "urgent",
 		Arrived:  now,
 		Deadline: o.deadline,
-		After:    o.after,
+		NotBefore:    o.after,
 	}
 	displaced, did, ok := p.Queue.Push(w)
 	if !ok {
