--- a/internal/flow/entry.go
+++ b/internal/flow/entry.go
@@ -54,7 +54,7 @@
 	// Seq is the caller's initial number while Opening, the target's while
 	// Accepted, and then the caller's number that was last acknowledged.
 	Seq      uint32
-	Seen     uint32 // tick of the last packet
+	LastPacket     uint32 // tick of the last packet
 	Answered uint32 // tick of the last answer
 	State    State
 	Flags    uint8
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -181,7 +181,7 @@
 // placeKnown sends the packet by its entry, unless that entry turns out to be
 // another attempt's.
 func (c *call) placeKnown(e *flow.Entry) bool {
-	e.Seen = tick(c.now)
+	e.LastPacket = tick(c.now)
 	switch e.State {
 	case flow.Handed, flow.Hinted:
 		return false
@@ -279,7 +279,7 @@
 	counted := e.Flags&flow.Counted != 0
 	c.r.release(e, c.addr.Service, c.addr.Unit())
 	e.State = flow.Closing
-	e.Seen = tick(c.now)
+	e.LastPacket = tick(c.now)
 	c.r.store(*e)
 	c.forgetSilence()
 	if counted {
--- a/internal/router/decision.go
+++ b/internal/router/decision.go
@@ -57,7 +57,7 @@
 		return
 	}
 	d.State, d.Seq = e.State, e.Seq
-	d.Idle = now - time.Duration(e.Seen)*flow.TickLength
+	d.Idle = now - time.Duration(e.LastPacket)*flow.TickLength
 	if e.Target != 0 {
 		d.Target = v.Targets[e.Target].Addr
 	}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -74,7 +74,7 @@
 		r.finish(e.Key, o)
 		e.State = flow.Handed
 		e.Target = 0
-		e.Seen = tick(now)
+		e.LastPacket = tick(now)
 	}
 	return m, ok
 }
@@ -150,7 +150,7 @@
 	if !known {
 		e = flow.Entry{Key: k, Target: id, Seq: m.Seq, State: m.State}
 	}
-	e.Seen = tick(now)
+	e.LastPacket = tick(now)
 	e.Flags |= flow.HandedOver
 	r.hold(&e, a.Service, a.Unit())
 	if !r.store(e) {
@@ -201,7 +201,7 @@
 			o.exclude(id)
 		}
 	}
-	e = flow.Entry{Key: flow.NewKey(m.Caller, a.ID), Seq: m.Seq, Seen: tick(now), State: m.State}
+	e = flow.Entry{Key: flow.NewKey(m.Caller, a.ID), Seq: m.Seq, LastPacket: tick(now), State: m.State}
 	if !r.store(e) {
 		return
 	}
--- a/internal/router/inspect.go
+++ b/internal/router/inspect.go
@@ -41,7 +41,7 @@
 			Caller:   e.Key.CallerAddr(),
 			Address:  a.addr,
 			State:    e.State.String(),
-			IdleMS:   (now - time.Duration(e.Seen)*flow.TickLength).Milliseconds(),
+			IdleMS:   (now - time.Duration(e.LastPacket)*flow.TickLength).Milliseconds(),
 			Counted:  e.Flags&flow.Counted != 0,
 			Answers:  int(e.Answers),
 			HandOver: e.Flags&flow.HandedOver != 0,
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -116,7 +116,7 @@
 	if c.spill() {
 		return
 	}
-	e := flow.Entry{Key: c.key, Seq: c.seg.Seq, Seen: tick(c.now), State: flow.Queued}
+	e := flow.Entry{Key: c.key, Seq: c.seg.Seq, LastPacket: tick(c.now), State: flow.Queued}
 	if !c.r.store(e) {
 		c.r.Note(DropTableFull)
 		return
@@ -164,7 +164,7 @@
 func (r *Router) dispatch(now time.Duration, v *View, e *flow.Entry, o *opening, id uint32, out *Output) {
 	e.Target = id
 	e.State = flow.Opening
-	e.Seen = tick(now)
+	e.LastPacket = tick(now)
 	r.hold(e, o.addr.Service, o.addr.Unit())
 	r.store(*e)
 	o.tried = append(o.tried, id)
@@ -220,7 +220,7 @@
 	r.release(&e, o.addr.Service, o.addr.Unit())
 	e.State = flow.Refused
 	e.Target = 0
-	e.Seen = tick(now)
+	e.LastPacket = tick(now)
 	r.store(e)
 	if seg, err := packet.Parse(o.packet); err == nil {
 		out.caller(packet.ResetTo(&seg))
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -57,7 +57,7 @@
 		c.r.Note(DropUnknownFlow)
 		return
 	}
-	e := flow.Entry{Key: c.key, Target: pr.candidates[0], Seen: tick(c.now), State: flow.Probing}
+	e := flow.Entry{Key: c.key, Target: pr.candidates[0], LastPacket: tick(c.now), State: flow.Probing}
 	if !c.r.store(e) {
 		c.r.Note(DropTableFull)
 		return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -191,9 +191,9 @@
 		s.Unlock()
 		return false
 	}
-	e.Seen = tick(c.now)
+	e.LastPacket = tick(c.now)
 	id := e.Target
-	quiet := c.seg.PayloadLen > 0 && e.State != flow.Closing && e.Seen-e.Answered > quietTicks
+	quiet := c.seg.PayloadLen > 0 && e.State != flow.Closing && e.LastPacket-e.Answered > quietTicks
 	s.Unlock()
 	if quiet {
 		return false
@@ -262,8 +262,8 @@
 		s.Unlock()
 		return false
 	}
-	e.Seen = tick(c.now)
-	e.Answered = e.Seen
+	e.LastPacket = tick(c.now)
+	e.Answered = e.LastPacket
 	if e.Answers < 255 {
 		e.Answers++
 	}
--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -35,7 +35,7 @@
 // passSpilled sends a caller's packet to a balancer of the group that serves
 // its flow.
 func (c *call) passSpilled(e flow.Entry) {
-	e.Seen = tick(c.now)
+	e.LastPacket = tick(c.now)
 	if !c.r.store(e) {
 		c.r.Note(DropTableFull)
 		return
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -147,7 +147,7 @@
 
 // keep reports whether an entry stays, and releases it if not.
 func (r *Router) keep(now time.Duration, e *flow.Entry) bool {
-	if now-time.Duration(e.Seen)*flow.TickLength <= r.idle(e) {
+	if now-time.Duration(e.LastPacket)*flow.TickLength <= r.idle(e) {
 		return true
 	}
 	if o := r.openings[e.Key]; o != nil {
