--- a/internal/flow/entry.go
+++ b/internal/flow/entry.go
@@ -55,7 +55,7 @@
 	// Accepted, and then the caller's number that was last acknowledged.
 	Seq      uint32
 	LastPacket     uint32 // tick of the last packet
-	Answered uint32 // tick of the last answer
+	LastAnswer uint32 // tick of the last answer
 	State    State
 	Flags    uint8
 	Answers  uint8 // answers seen here, saturating
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -58,7 +58,7 @@
 		// home that gets this answer next corrects the latter.
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Learned}
 	}
-	e.LastPacket, e.Answered = now, now
+	e.LastPacket, e.LastAnswer = now, now
 	if c.seg.HasAck() {
 		e.Seq = c.seg.Ack
 	}
@@ -134,7 +134,7 @@
 // answerOfTarget handles an answer of a flow's recorded target.
 func (c *call) answerOfTarget(e *flow.Entry) {
 	now := tick(c.now)
-	e.LastPacket, e.Answered = now, now
+	e.LastPacket, e.LastAnswer = now, now
 	if e.Answers < 255 {
 		e.Answers++
 	}
@@ -255,7 +255,7 @@
 	if c.isBare() && !c.seg.IsAccept() {
 		return // which does not show that the target has the flow
 	}
-	e := flow.Entry{Key: c.key, Target: id, Seq: c.seg.Ack, LastPacket: tick(c.now), Answered: tick(c.now), State: flow.Open}
+	e := flow.Entry{Key: c.key, Target: id, Seq: c.seg.Ack, LastPacket: tick(c.now), LastAnswer: tick(c.now), State: flow.Open}
 	if c.seg.IsAccept() {
 		e.State = flow.Accepted
 		e.Seq = c.seg.Seq
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -193,7 +193,7 @@
 	}
 	e.LastPacket = tick(c.now)
 	id := e.Target
-	quiet := c.seg.PayloadLen > 0 && e.State != flow.Closing && e.LastPacket-e.Answered > quietTicks
+	quiet := c.seg.PayloadLen > 0 && e.State != flow.Closing && e.LastPacket-e.LastAnswer > quietTicks
 	s.Unlock()
 	if quiet {
 		return false
@@ -263,7 +263,7 @@
 		return false
 	}
 	e.LastPacket = tick(c.now)
-	e.Answered = e.LastPacket
+	e.LastAnswer = e.LastPacket
 	if e.Answers < 255 {
 		e.Answers++
 	}
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -57,7 +57,7 @@
 			c.r.Note(DropForeignTarget)
 			return
 		}
-		e = flow.Entry{Key: c.key, Target: id, State: flow.Open, Answered: tick(c.now)}
+		e = flow.Entry{Key: c.key, Target: id, State: flow.Open, LastAnswer: tick(c.now)}
 		c.r.hold(&e, c.addr.Service, c.addr.Unit())
 		c.decide(FlowAdopted, &e)
 	}
@@ -90,7 +90,7 @@
 	if s == nil && len(c.r.silences) >= maxSilences {
 		return false
 	}
-	if s == nil || s.seq != c.seg.Seq || s.ack != c.seg.Ack || e.Answered >= tick(s.first) {
+	if s == nil || s.seq != c.seg.Seq || s.ack != c.seg.Ack || e.LastAnswer >= tick(s.first) {
 		c.forgetSilence()
 		c.r.silences[e.Key] = &silence{seq: c.seg.Seq, ack: c.seg.Ack, count: 1, first: c.now, last: c.now}
 		return false
@@ -155,7 +155,7 @@
 	if !ok || c.isHome() || e.Target != c.v.TargetIDs[TargetKey{c.addr.Service, c.hop.Target}] {
 		return
 	}
-	if e.State != flow.Open && e.State != flow.Learned || tick(c.now)-e.Answered > quietTicks {
+	if e.State != flow.Open && e.State != flow.Learned || tick(c.now)-e.LastAnswer > quietTicks {
 		return
 	}
 	hop := geneve.Hop{Kind: geneve.Silent, Count: c.hop.Count + 1, Flags: geneve.FlagAnswered}
@@ -195,7 +195,7 @@
 	c := call{r: r, v: v, now: now, out: out, key: k, hash: k.Hash()}
 	e, ok := c.load()
 	a, served := v.addressByID(k.Address)
-	if !ok || !served || !isLive(e.State) || e.Answered >= tick(s.first) || c.seg.Decode(s.packet) != nil {
+	if !ok || !served || !isLive(e.State) || e.LastAnswer >= tick(s.first) || c.seg.Decode(s.packet) != nil {
 		c.forgetSilence()
 		return
 	}
--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -25,7 +25,7 @@
 		Key:      c.key,
 		Seq:      c.seg.Seq,
 		State:    flow.Spilled,
-		Answered: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
+		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
 	}
 	c.r.Note(FlowSpilled)
 	c.passSpilled(e)
@@ -41,7 +41,7 @@
 		return
 	}
 	for dc, nodes := range c.v.Remotes {
-		if dataCenterHash(dc) != e.Answered || len(nodes) == 0 {
+		if dataCenterHash(dc) != e.LastAnswer || len(nodes) == 0 {
 			continue
 		}
 		n := &nodes[rendezvous.First(c.flow, nodeSeeds(nodes))]
