--- a/internal/flow/table.go
+++ b/internal/flow/table.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// EachIn is Each for one of Parts parts of the table, for bounded sweeps.
-func (t *Table) EachIn(part int, f func(*Entry) bool) {
+// EachInPart is Each for one of Parts parts of the table, for bounded sweeps.
+func (t *Table) EachInPart(part int, f func(*Entry) bool) {
 	t.shards[part%shardCount].each(f)
 }
 
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -43,7 +43,7 @@
 	streams := 0
 	for part := range flow.Parts {
 		r.mu.Lock()
-		r.table.EachIn(part, func(e *flow.Entry) bool {
+		r.table.EachInPart(part, func(e *flow.Entry) bool {
 			if m, ok := r.recountOne(now, v, e, &streams); ok {
 				out = append(out, m)
 			}
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -130,7 +130,7 @@
 	r.sweptAt = now
 	for range min(parts, flow.Parts) {
 		r.sweepAt = (r.sweepAt + 1) % flow.Parts
-		r.table.EachIn(r.sweepAt, func(e *flow.Entry) bool { return r.keep(now, e) })
+		r.table.EachInPart(r.sweepAt, func(e *flow.Entry) bool { return r.keep(now, e) })
 	}
 	for k, p := range r.probes {
 		if now-p.began > probeExpiry {
