--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -98,25 +98,25 @@
 	}
 }
 
-// Held is what the flows of this balancer hold at one target.
-type Held struct {
+// TargetUsage is what the flows of this balancer hold at one target.
+type TargetUsage struct {
 	Target      uint32
 	Connections int
 	Slots       int
 }
 
 // Holdings returns the non-zero holdings, by target identifier.
-func (r *Router) Holdings() []Held {
+func (r *Router) Holdings() []TargetUsage {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Held
+	var out []TargetUsage
 	for id := 1; id < len(v.Targets); id++ {
 		p := r.pools[v.Targets[id].Service]
 		if p == nil {
 			continue
 		}
-		h := Held{uint32(id), p.Used(uint32(id), balance.Connection), p.Used(uint32(id), balance.Slot)}
+		h := TargetUsage{uint32(id), p.Used(uint32(id), balance.Connection), p.Used(uint32(id), balance.Slot)}
 		if h.Connections+h.Slots > 0 {
 			out = append(out, h)
 		}
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -180,12 +180,12 @@
 	e.Target = 0
 	r.store(*e)
 	w := balance.Waiter{
-		Key:      e.Key,
-		Unit:     o.addr.Unit(),
-		Urgent:   o.addr.Class == "urgent",
-		Arrived:  now,
-		Deadline: o.deadline,
-		NotBefore:    o.after,
+		Key:       e.Key,
+		Unit:      o.addr.Unit(),
+		Urgent:    o.addr.Class == "urgent",
+		Arrived:   now,
+		Deadline:  o.deadline,
+		NotBefore: o.after,
 	}
 	displaced, did, ok := p.Queue.Push(w)
 	if !ok {
--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -22,9 +22,9 @@
 		seeds[i] = rendezvous.Seed(dc)
 	}
 	e := flow.Entry{
-		Key:      c.key,
-		Seq:      c.seg.Seq,
-		State:    flow.Spilled,
+		Key:        c.key,
+		Seq:        c.seg.Seq,
+		State:      flow.Spilled,
 		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
 	}
 	c.r.Note(FlowSpilled)
