--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -98,7 +98,7 @@
 	for _, hash := range l.streamed {
 		out[hash] = 0
 	}
-	for _, h := range l.router.Holdings() {
+	for _, h := range l.router.Usage() {
 		if hash, ok := l.streamed[h.Target]; ok {
 			out[hash] = h.Connections
 		}
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -105,8 +105,8 @@
 	Slots       int
 }
 
-// Holdings returns the non-zero holdings, by target identifier.
-func (r *Router) Holdings() []TargetUsage {
+// Usage returns the non-zero holdings, by target identifier.
+func (r *Router) Usage() []TargetUsage {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -61,7 +61,7 @@
 			fuzzEvent(r, v, now, b, out)
 			checkActions(t, v, out)
 		}
-		for _, h := range r.Holdings() {
+		for _, h := range r.Usage() {
 			if h.Slots < 0 || h.Connections < 0 {
 				t.Fatalf("holds %+v with %d flows", h, r.Flows())
 			}
--- a/internal/router/group_test.go
+++ b/internal/router/group_test.go
@@ -100,7 +100,7 @@
 	only(t, out, ToTarget)
 	fromTarget(r, time.Second, target, packet.Build(slotAddress, testCaller, 5008, 1011, header.TCPFlagAck, nil), out)
 	only(t, out, ToCaller)
-	if h := r.Holdings(); len(h) != 0 {
+	if h := r.Usage(); len(h) != 0 {
 		t.Fatalf("held: %+v", h)
 	}
 }
