--- a/internal/forward/worker.go
+++ b/internal/forward/worker.go
@@ -60,7 +60,7 @@
 	}
 	d, err := geneve.Parse(b)
 	if err != nil {
-		w.plane.router.Note(router.GeneveReason(err))
+		w.plane.router.Increment(router.GeneveReason(err))
 		return
 	}
 	ua, ok := m.Addr.(*net.UDPAddr)
@@ -70,7 +70,7 @@
 	src, _ := netip.AddrFromSlice(ua.IP)
 	src = src.Unmap()
 	if !w.plane.trusted(src, &d) {
-		w.plane.router.Note(router.DropForeignSource)
+		w.plane.router.Increment(router.DropForeignSource)
 		return
 	}
 	now := w.plane.Now()
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -19,7 +19,7 @@
 		return
 	}
 	c.learn(id)
-	c.r.Note(HomeForwarded)
+	c.r.Increment(HomeForwarded)
 	hop := geneve.Hop{Kind: geneve.Answer, Count: c.hop.Count + 1, Flags: c.hop.Flags & geneve.FlagRecorded, Target: c.v.Targets[id].Addr}
 	if c.seg.IsReset() && c.recordedAt(id) {
 		hop.Flags |= geneve.FlagRecorded
@@ -50,7 +50,7 @@
 		return
 	}
 	if !ok || e.State == flow.Hinted {
-		c.r.Note(FlowLearned)
+		c.r.Increment(FlowLearned)
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Learned}
 	}
 	if e.Target != id {
@@ -184,7 +184,7 @@
 	if e.State == flow.Opening {
 		e.State = flow.Accepted
 		e.Seq = c.seg.Seq
-		c.r.Note(FlowOpened)
+		c.r.Increment(FlowOpened)
 		c.r.pools[c.addr.Service].Accepted(e.Target)
 		if o := c.r.openings[e.Key]; o != nil {
 			c.r.finish(e.Key, o)
@@ -268,6 +268,6 @@
 	c.decide(FlowAdopted, &e)
 	if !c.r.store(e) {
 		c.r.release(&e, c.addr.Service, c.addr.Unit())
-		c.r.Note(DropTableFull)
+		c.r.Increment(DropTableFull)
 	}
 }
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -27,7 +27,7 @@
 func (c *call) callerSlow() {
 	switch {
 	case c.hop.Count >= hopLimit:
-		c.r.Note(DropHopLimit)
+		c.r.Increment(DropHopLimit)
 	case c.seg.IsOpening():
 		c.opening()
 	case c.has && c.hop.Kind == geneve.Silent && c.hop.Flags&geneve.FlagAsked != 0:
@@ -57,7 +57,7 @@
 	if c.spilled {
 		hop.Flags = geneve.FlagSpilled
 	}
-	c.r.Note(HomeForwarded)
+	c.r.Increment(HomeForwarded)
 	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
@@ -110,7 +110,7 @@
 	hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1}
 	if n <= c.r.set.MaxAsk {
 		if i := c.v.nextAfter(c.addr.homeKey(c.flow), c.home, max(n-1, 0)); i >= 0 {
-			c.r.Note(AskForwarded)
+			c.r.Increment(AskForwarded)
 			c.out.peer(c.v, i, c.addr.Service, hop, c.seg.Raw)
 			return
 		}
@@ -274,7 +274,7 @@
 // end releases a flow's load and keeps its entry for late packets.
 func (c *call) end(e *flow.Entry) {
 	if e.State != flow.Closing {
-		c.r.Note(FlowEnded)
+		c.r.Increment(FlowEnded)
 	}
 	counted := e.Flags&flow.Counted != 0
 	c.r.release(e, c.addr.Service, c.addr.Unit())
--- a/internal/router/decision.go
+++ b/internal/router/decision.go
@@ -30,7 +30,7 @@
 // decide counts a decision on the packet in hand and reports it. e is the flow's record,
 // or nil.
 func (c *call) decide(why Reason, e *flow.Entry) {
-	c.r.Note(why)
+	c.r.Increment(why)
 	d := Decision{Reason: why, Caller: c.key.CallerAddr(), HasPacket: true}
 	d.Flags, d.Sent, d.Ack, d.Hops = c.seg.Flags, c.seg.Seq, c.seg.Ack, c.hop.Count
 	if c.sender != 0 {
@@ -42,7 +42,7 @@
 
 // decide counts a decision that no packet led to and reports it.
 func (r *Router) decide(now time.Duration, why Reason, e *flow.Entry, out *Output) {
-	r.Note(why)
+	r.Increment(why)
 	d := Decision{Reason: why, Caller: e.Key.CallerAddr()}
 	d.record(now, r.view.Load(), e.Key, e)
 	out.Decisions = append(out.Decisions, d)
--- a/internal/router/former.go
+++ b/internal/router/former.go
@@ -65,7 +65,7 @@
 		c.decide(DropLateAccept, e) // its home has it already
 		return
 	}
-	c.r.Note(HomeForwarded)
+	c.r.Increment(HomeForwarded)
 	hop := geneve.Hop{Kind: geneve.Answer, Count: max(c.hop.Count, openingHops) + 1, Target: c.v.Targets[id].Addr}
 	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
@@ -117,7 +117,7 @@
 		Flags:  geneve.FlagFormer | flags,
 		Target: c.v.Targets[id].Addr,
 	}
-	c.r.Note(AskForwarded)
+	c.r.Increment(AskForwarded)
 	c.out.peer(c.v, i, c.addr.Service, hop, c.seg.Raw)
 	return true
 }
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -132,7 +132,7 @@
 	if id == 0 && m.State != flow.Queued {
 		return
 	}
-	r.Note(FlowHandedOver)
+	r.Increment(FlowHandedOver)
 	k := flow.NewKey(m.Caller, a.ID)
 	e, known := r.load(k, k.Hash())
 	known = known && e.State != flow.Handed
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -66,7 +66,7 @@
 		if !c.isHome() {
 			// It came back from a balancer whose view is older; the new home
 			// has the opening already.
-			c.r.Note(DropOpeningRepeated)
+			c.r.Increment(DropOpeningRepeated)
 			return
 		}
 	case flow.Closing, flow.Hinted:
@@ -90,7 +90,7 @@
 
 func (c *call) openRepeated(e *flow.Entry) {
 	if e.State == flow.Queued {
-		c.r.Note(DropOpeningRepeated)
+		c.r.Increment(DropOpeningRepeated)
 		return
 	}
 	c.out.target(c.v, e.Target, c.seg.Raw)
@@ -118,7 +118,7 @@
 	}
 	e := flow.Entry{Key: c.key, Seq: c.seg.Seq, LastPacket: tick(c.now), State: flow.Queued}
 	if !c.r.store(e) {
-		c.r.Note(DropTableFull)
+		c.r.Increment(DropTableFull)
 		return
 	}
 	wait := c.addr.Deadline
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -54,12 +54,12 @@
 		pr.candidates = append([]uint32{likeliest}, rest...)
 	}
 	if len(pr.candidates) == 0 {
-		c.r.Note(DropUnknownFlow)
+		c.r.Increment(DropUnknownFlow)
 		return
 	}
 	e := flow.Entry{Key: c.key, Target: pr.candidates[0], LastPacket: tick(c.now), State: flow.Probing}
 	if !c.r.store(e) {
-		c.r.Note(DropTableFull)
+		c.r.Increment(DropTableFull)
 		return
 	}
 	c.r.probes[c.key] = pr
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -79,7 +79,7 @@
 		r.refuse(now, e.Key, RefuseUnanswered, out)
 		return
 	}
-	r.Note(OpeningResent)
+	r.Increment(OpeningResent)
 	o.sentAt = now
 	out.target(v, e.Target, o.packet)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -106,8 +106,8 @@
 // Count returns how often reason occurred.
 func (r *Router) Count(reason Reason) uint64 { return r.counts[reason].Load() }
 
-// Note counts a reason that the sockets' side found.
-func (r *Router) Note(reason Reason) { r.counts[reason].Add(1) }
+// Increment counts a reason that the sockets' side found.
+func (r *Router) Increment(reason Reason) { r.counts[reason].Add(1) }
 
 // Flows returns the number of entries in the flow table.
 func (r *Router) Flows() int { return r.table.Len() }
@@ -140,7 +140,7 @@
 func (r *Router) Handle(now time.Duration, source netip.Addr, d *geneve.Datagram, out *Output) {
 	c := call{r: r, v: r.view.Load(), now: now, out: out, hop: d.Hop, has: d.HasHop}
 	if err := c.seg.Decode(d.Inner); err != nil {
-		r.Note(packetReason(err))
+		r.Increment(packetReason(err))
 		return
 	}
 	if d.HasHop && d.Hop.Flags&geneve.FlagSpilled != 0 {
@@ -153,7 +153,7 @@
 	case d.HasHop && (d.Hop.Kind == geneve.Answer || d.Hop.Kind == geneve.Correct):
 		c.fromTarget(d.VNI, d.Hop.Target)
 	case d.HasHop && d.Hop.Kind > geneve.Correct:
-		r.Note(DropHopKind)
+		r.Increment(DropHopKind)
 	case d.VNI == 0 || d.HasHop:
 		c.fromCaller()
 	default:
@@ -163,7 +163,7 @@
 
 func (c *call) fromCaller() {
 	if c.addr = c.v.address(c.seg.Dst); c.addr == nil {
-		c.r.Note(DropUnknownAddress)
+		c.r.Increment(DropUnknownAddress)
 		return
 	}
 	c.key = flow.NewKey(c.seg.Src, c.addr.ID)
@@ -228,7 +228,7 @@
 	}
 	id, ok := c.v.TargetIDs[TargetKey{vni, from.Unmap()}]
 	if !ok {
-		c.r.Note(DropForeignTarget)
+		c.r.Increment(DropForeignTarget)
 		return
 	}
 	c.sender = id
@@ -246,10 +246,10 @@
 // noteForeign counts an answer that does not fit its number.
 func (c *call) noteForeign(vni uint32) {
 	if _, ok := c.v.Services[vni]; !ok {
-		c.r.Note(DropForeignNumber)
+		c.r.Increment(DropForeignNumber)
 		return
 	}
-	c.r.Note(DropUnknownAddress)
+	c.r.Increment(DropUnknownAddress)
 }
 
 // answerKnown sends a target's packet to its caller if the target is the
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -54,7 +54,7 @@
 	if !ok {
 		id, known := c.v.TargetIDs[TargetKey{c.addr.Service, c.hop.Target}]
 		if !known {
-			c.r.Note(DropForeignTarget)
+			c.r.Increment(DropForeignTarget)
 			return
 		}
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Open, LastAnswer: tick(c.now)}
@@ -210,6 +210,6 @@
 		return
 	}
 	s.copies++
-	r.Note(SilentRepeated)
+	r.Increment(SilentRepeated)
 	out.target(v, e.Target, s.packet)
 }
--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -27,7 +27,7 @@
 		State:      flow.Spilled,
 		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
 	}
-	c.r.Note(FlowSpilled)
+	c.r.Increment(FlowSpilled)
 	c.passSpilled(e)
 	return true
 }
@@ -37,7 +37,7 @@
 func (c *call) passSpilled(e flow.Entry) {
 	e.LastPacket = tick(c.now)
 	if !c.r.store(e) {
-		c.r.Note(DropTableFull)
+		c.r.Increment(DropTableFull)
 		return
 	}
 	for dc, nodes := range c.v.Remotes {
@@ -51,7 +51,7 @@
 		})
 		return
 	}
-	c.r.Note(DropUnknownFlow)
+	c.r.Increment(DropUnknownFlow)
 }
 
 func dataCenterHash(dc string) uint32 { return uint32(xxhash.Sum64String(dc)) }
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -93,7 +93,7 @@
 	if now-o.sentAt < r.set.OpenTimeout {
 		if !o.resent {
 			o.resent = true
-			r.Note(OpeningResent)
+			r.Increment(OpeningResent)
 			out.target(v, e.Target, o.packet)
 		}
 		return
@@ -156,7 +156,7 @@
 		}
 		r.finish(e.Key, o)
 	}
-	r.Note(FlowExpired)
+	r.Increment(FlowExpired)
 	if a, ok := r.view.Load().addressByID(e.Key.Address); ok {
 		r.release(e, a.Service, a.Unit())
 	}
