--- a/internal/flow/entry.go
+++ b/internal/flow/entry.go
@@ -1,36 +1,41 @@
 package flow
 
-// State is the progress of a flow as its balancer knows it.
+// State is the state of a flow as its balancer knows it.
 type State uint8
 
 const (
-	// Queued: the opening packet waits for room; no target was chosen.
+	// Queued: the opening packet waits for a target with room; none is chosen
+	// yet.
 	Queued State = iota + 1
 	// Opening: the opening packet was sent to Target.
 	Opening
-	// Accepted: the target's SYN-ACK went to the caller, who has not
-	// confirmed it yet. Seq is the target's initial sequence number.
+	// Accepted: the target's SYN-ACK was forwarded to the caller, which has
+	// not acknowledged it yet. Seq is the target's initial sequence number.
 	Accepted
-	// Open: both ends have the connection.
+	// Open: the handshake is complete at both ends.
 	Open
-	// Learned: taken from a passing answer, not yet verified by the home.
+	// Learned: the target was taken from a forwarded answer, and the home has
+	// not verified it yet.
 	Learned
-	// Probing: the home tries candidates to find the flow's owner.
+	// Probing: the home sends the caller's packet to one candidate target
+	// after another, to find the one that has the flow.
 	Probing
-	// Closing: the target has ended the flow; late packets still pass.
+	// Closing: the flow has ended; the entry is kept to forward late packets.
 	Closing
-	// Refused: the caller was refused. No payload ever passed.
+	// Refused: the opening was answered with a reset. No payload was
+	// forwarded.
 	Refused
 	// Handed: the opening was handed over to a new home.
 	Handed
-	// Spilled: a balancer of another group decides on the flow. Answered names
-	// that group's data centre.
+	// Spilled: another group's balancers decide on the flow. LastAnswer holds
+	// the hash of that group's data centre instead of a tick.
 	Spilled
-	// Hinted: taken from one answer without payload. It decides nothing.
+	// Hinted: the target was taken from one answer without payload, which does
+	// not prove that it has the flow. No packet is forwarded by this entry.
 	Hinted
 )
 
-// String returns the state's name as operators see it.
+// String returns the state's name in logs and operator output.
 func (s State) String() string {
 	names := [...]string{"none", "queued", "opening", "accepted", "open", "learned", "probing", "closing", "refused", "handed", "spilled", "hinted"}
 	if int(s) < len(names) {
@@ -41,23 +46,25 @@
 
 // Entry flags.
 const (
-	// Counted: the entry is part of its target's load at this balancer.
+	// Counted: the entry is included in its target's load at this balancer.
 	Counted uint8 = 1 << iota
-	// HandedOver: the entry came from a balancer that left.
+	// HandedOver: the entry came from the flow's previous home.
 	HandedOver
 )
 
-// Entry is one flow. Times are in ticks of TickLength since the table began.
+// Entry is the record of one flow. Times are in ticks of TickLength since the
+// process's data path started.
 type Entry struct {
 	Key    Key
 	Target uint32 // identifier of (service number, target address)
-	// Seq is the caller's initial number while Opening, the target's while
-	// Accepted, and then the caller's number that was last acknowledged.
-	Seq      uint32
-	LastPacket     uint32 // tick of the last packet
-	LastAnswer uint32 // tick of the last answer
-	State    State
-	Flags    uint8
-	Answers  uint8 // answers seen here, saturating
-	Probe    uint8 // index of the candidate that is being probed
+	// Seq is the caller's initial sequence number while Opening, the target's
+	// while Accepted, and after that the last of the caller's sequence numbers
+	// that the target acknowledged.
+	Seq        uint32
+	LastPacket uint32 // tick of the last packet in either direction
+	LastAnswer uint32 // tick of the last answer; see also Spilled
+	State      State
+	Flags      uint8
+	Answers    uint8 // answers forwarded by this balancer, saturating
+	Probe      uint8 // index of the candidate being probed
 }
--- a/internal/flow/key.go
+++ b/internal/flow/key.go
@@ -1,5 +1,5 @@
-// Package flow holds the bounded table in which a balancer records which
-// target each flow belongs to.
+// Package flow implements the bounded table in which a balancer records the
+// target of each flow.
 package flow
 
 import (
@@ -7,16 +7,18 @@
 	"net/netip"
 )
 
-// Key names a flow at one balancer: the caller's address and port, and the
-// service address it called. Address is an identifier that this process gave
-// to (service number, address) and never gives to another pair.
+// Key identifies a flow at one balancer: the caller's address and port, and
+// the service address it called. Address is an identifier that this process
+// assigned to a pair of service number and address; identifiers are not
+// reused.
 type Key struct {
 	Caller  [16]byte
 	Address uint32
-	Port    uint32 // of the caller; as wide as it is for a key without padding
+	Port    uint32 // caller's port; 32 bits wide to leave the struct without padding
 }
 
-// NewKey returns the key of the flow between caller and the service address.
+// NewKey returns the key of the flow from caller to the service address with
+// the given identifier.
 func NewKey(caller netip.AddrPort, address uint32) Key {
 	return Key{Caller: caller.Addr().As16(), Address: address, Port: uint32(caller.Port())}
 }
@@ -28,6 +30,6 @@
 
 var seed = maphash.MakeSeed()
 
-// Hash returns a hash that is seeded for each process, so that callers cannot
-// choose ports whose entries collide.
+// Hash returns the key's hash. The seed is random for each process, so that
+// callers cannot choose ports whose entries collide.
 func (k Key) Hash() uint64 { return maphash.Comparable(seed, k) }
--- a/internal/flow/table.go
+++ b/internal/flow/table.go
@@ -13,32 +13,35 @@
 	shardBits  = 8
 	shardCount = 1 << shardBits
 	firstSlots = 16
-	// A shard grows by a quarter when it is more than four fifths full, so
-	// that a slot's share of memory stays near the entry's own size.
+	// A shard grows by a quarter when it is more than four fifths full, which
+	// keeps the memory for each entry close to the entry's own size.
 	loadNum, loadDen = 4, 5
-	// Learned entries fill a shard only up to this share of its bound.
+	// Learned and hinted entries may fill a shard only up to this share of its
+	// limit.
 	learnNum, learnDen = 7, 8
-	// evictScan bounds the search for an entry that may go.
+	// evictScan is the number of slots examined to find an evictable entry.
 	evictScan = 64
 )
 
-// Table is a sharded open-addressing hash table with a fixed upper bound.
-// Each shard has its own lock: packets of one flow may reach any traffic
-// goroutine, since the kernel spreads datagrams by their outer addresses.
+// Table is a sharded open-addressing hash table with a fixed maximum number of
+// entries. Each shard has its own lock: packets of one flow may reach any
+// traffic goroutine, since the kernel distributes datagrams by their outer
+// addresses.
 type Table struct {
 	shards [shardCount]Shard
 }
 
-// Shard is one part of a Table. Its methods need its lock to be held.
+// Shard is one part of a Table. Callers of its methods must hold its lock.
 type Shard struct {
 	sync.Mutex
 	slots []Entry
 	used  int
 	limit int
-	_     [64]byte // keeps neighbouring locks on separate cache lines
+	_     [64]byte // keeps the locks of adjacent shards on separate cache lines
 }
 
-// NewTable returns a table for at most limit entries.
+// NewTable returns a table for at most limit entries, divided evenly among the
+// shards.
 func NewTable(limit int) *Table {
 	t := &Table{}
 	for i := range t.shards {
@@ -47,7 +50,7 @@
 	return t
 }
 
-// Shard returns the shard of a key's hash.
+// Shard returns the shard for a key with the given hash.
 func (t *Table) Shard(hash uint64) *Shard { return &t.shards[hash>>(64-shardBits)] }
 
 // Len returns the number of entries.
@@ -62,7 +65,7 @@
 	return n
 }
 
-// Each calls f for every entry, one shard at a time under its lock, and
+// Each calls f for every entry, one shard at a time with its lock held, and
 // deletes the entries for which f returns false.
 func (t *Table) Each(f func(*Entry) bool) {
 	for i := range t.shards {
@@ -70,12 +73,13 @@
 	}
 }
 
-// EachInPart is Each for one of Parts parts of the table, for bounded sweeps.
+// EachInPart is Each for a single part of the table, so that a sweep can be
+// divided into short steps. Parts are numbered modulo Parts.
 func (t *Table) EachInPart(part int, f func(*Entry) bool) {
 	t.shards[part%shardCount].each(f)
 }
 
-// Parts is the number of parts that EachIn knows.
+// Parts is the number of parts for EachInPart.
 const Parts = shardCount
 
 func (s *Shard) each(f func(*Entry) bool) {
@@ -86,7 +90,7 @@
 			i++
 			continue
 		}
-		s.remove(i) // a later entry may have moved here: look again
+		s.remove(i) // remove may have moved a later entry into slot i
 	}
 }
 
@@ -94,7 +98,8 @@
 	return int((hash & (1<<32 - 1)) * uint64(len(s.slots)) >> 32)
 }
 
-// Get returns the entry of k, or nil. It is valid until the lock is released.
+// Get returns the entry of k, or nil. The pointer is valid until the lock is
+// released.
 func (s *Shard) Get(k Key, hash uint64) *Entry {
 	if i := s.find(k, hash); i >= 0 {
 		return &s.slots[i]
@@ -102,7 +107,7 @@
 	return nil
 }
 
-// find returns the slot of k, or -1.
+// find returns the index of k's slot, or -1.
 func (s *Shard) find(k Key, hash uint64) int {
 	if len(s.slots) == 0 {
 		return -1
@@ -119,9 +124,10 @@
 }
 
 // Insert returns a new entry for k in state st, or nil when the shard is at
-// its bound. The key must not be present. A flow that this balancer decided or
-// counts is never evicted to make room for a new one. Learned entries only save
-// a hop: they are not taken near the bound, and give way at it.
+// its limit. The key must not be present. Entries that this balancer decided
+// on or counts are never evicted for new ones. Learned and hinted entries only
+// save a forwarding hop: they are not inserted close to the limit, and are
+// evicted at it.
 func (s *Shard) Insert(k Key, hash uint64, st State) *Entry {
 	if (st == Learned || st == Hinted) && s.used*learnDen >= s.limit*learnNum {
 		return nil
@@ -169,22 +175,22 @@
 	}
 }
 
-// Delete removes k if it is present.
+// Delete removes the entry of k, if any.
 func (s *Shard) Delete(k Key, hash uint64) {
 	if i := s.find(k, hash); i >= 0 {
 		s.remove(i)
 	}
 }
 
-// remove empties slot i and moves later entries of the run back, so that no
-// search stops early at the hole.
+// remove empties slot i and moves later entries of the same probe sequence
+// back, so that no lookup stops early at the empty slot.
 func (s *Shard) remove(i int) {
 	n := len(s.slots)
 	s.used--
 	s.slots[i] = Entry{}
 	for j := (i + 1) % n; s.slots[j].State != 0; j = (j + 1) % n {
-		want := s.index(s.slots[j].Key.Hash())
-		if (j-want+n)%n >= (j-i+n)%n {
+		ideal := s.index(s.slots[j].Key.Hash())
+		if (j-ideal+n)%n >= (j-i+n)%n {
 			s.slots[i] = s.slots[j]
 			s.slots[j] = Entry{}
 			i = j
@@ -192,7 +198,7 @@
 	}
 }
 
-// Bytes returns the memory that the slots take.
+// Bytes returns the size in bytes of all slots, used and free.
 func (t *Table) Bytes() int {
 	n := 0
 	for i := range t.shards {
--- a/internal/flow/table_test.go
+++ b/internal/flow/table_test.go
@@ -13,8 +13,8 @@
 	return NewKey(netip.AddrPortFrom(a, uint16(n)), 1)
 }
 
-// The table has to behave as a map does through any mix of inserts and
-// deletes: backward shifting on deletion is where such tables go wrong.
+// Compares the table with a map through random sequences of inserts and
+// deletes. The most error-prone part is the backward shift on deletion.
 func TestTableBehavesAsMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, model := NewTable(1<<16), map[Key]uint32{}
@@ -46,8 +46,8 @@
 	})
 }
 
-// A flood of opening packets fills the table: established flows must stay, and
-// the newcomers are refused.
+// Guards against eviction of established flows when a flood of opening packets
+// fills the table: the new entries must be rejected instead.
 func TestFullTableKeepsWhatItHas(t *testing.T) {
 	const limit = 1024
 	table := NewTable(limit)
@@ -69,8 +69,9 @@
 	}
 }
 
-// A balancer of a large group has learned flows up to its bound. Openings that
-// it is home for must still find a place: the learned ones cost others a hop.
+// Guards against openings being rejected at their home because learned flows
+// fill the table. Learned entries only save other balancers a hop, so they
+// must be evicted.
 func TestOpeningsDisplaceLearnedFlows(t *testing.T) {
 	const limit = 1 << 14
 	table := NewTable(limit)
@@ -91,7 +92,7 @@
 		}
 	}
 	if opened < limit/2*99/100 {
-		t.Fatalf("only %d of %d openings found a place", opened, limit/2)
+		t.Fatalf("only %d of %d openings were inserted", opened, limit/2)
 	}
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// Capacity planning counts on this size.
+// Capacity planning assumes at most 48 bytes for each flow.
 func TestEntrySize(t *testing.T) {
 	if n := unsafe.Sizeof(Entry{}); n > 48 {
 		t.Fatalf("an entry takes %d bytes", n)
