--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -21,8 +21,9 @@
 	return Waiter{Key: flow.Key{Port: port}, Unit: Slot, Urgent: urgent, Arrived: time.Duration(port), Deadline: deadline}
 }
 
-// Urgent waiters go first, by deadline, but a steady stream of them must not
-// starve the others: every fourth admission is the longest waiting other one.
+// Checks that urgent waiters go first, by deadline, and that a steady stream
+// of them does not starve the others: every fourth admission goes to the
+// longest waiting of those.
 func TestQueueOrder(t *testing.T) {
 	var q Queue
 	for i := range uint32(6) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// A flood of ordinary requests has filled the queue: a hold still gets a place,
-// that of the request with the latest deadline.
+// Guards against urgent requests being refused when ordinary ones fill the
+// queue: an urgent one replaces the request with the latest deadline.
 func TestUrgentDisplaces(t *testing.T) {
 	var q Queue
 	for i := range uint32(MaxQueue) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// A target that just became active is cold. It gets a growing share of new
-// flows and not all of them, although it is by far the least loaded.
+// Guards against a target that just became active receiving all new flows
+// because it is the least loaded: slow start gives it a growing share.
 func TestColdTargetIsNotFlooded(t *testing.T) {
 	p := testPool(4, 2)
 	for i := range 400 {
@@ -100,9 +101,8 @@
 	}
 }
 
-// A target has other work, which only its reports show, and its load endpoint
-// falls silent while that work goes on. New flows leave it as long as reports
-// come, and come back when the last one is too old to mean anything.
+// A target has other work that only its load reports show. New flows must
+// avoid it while reports arrive, and return once the last report is too old.
 func TestReportedLoadCountsUntilItAges(t *testing.T) {
 	p := testPool(4, 2)
 	share := func(now time.Duration) int {
@@ -120,7 +120,7 @@
 		}
 	}
 	now := time.Duration(0)
-	for ; now < 4*reportMemory; now += time.Second {
+	for ; now < 4*reportWindow; now += time.Second {
 		for id := range uint32(4) {
 			load := 0.5
 			if id == 0 {
@@ -132,14 +132,14 @@
 	if n := share(now); n > 0 {
 		t.Fatalf("the busy target got %d of 400 flows", n)
 	}
-	if n := share(now + reportMemory); n < 50 {
+	if n := share(now + reportWindow); n < 50 {
 		t.Fatalf("the target got %d of 400 flows after its last report aged", n)
 	}
 }
 
-// A target's SYN-ACK is lost and the opening goes elsewhere. The target keeps
-// room for the half-open connection until it repeats the SYN-ACK a second later:
-// openings sent there meanwhile would be refused.
+// A target's SYN-ACK is lost and the opening goes to another target. The first
+// target keeps room for the half-open connection until it retransmits the
+// SYN-ACK a second later; openings sent there before that would be refused.
 func TestTargetLeftBehindKeepsItsSlot(t *testing.T) {
 	p := testPool(1, 1)
 	p.Acquire(1, Slot)
@@ -148,14 +148,14 @@
 	if _, ok := p.Choose(time.Second, Slot, 1, nil); ok {
 		t.Fatal("the slot was given away at once")
 	}
-	p.Advance(leftPause)
-	if _, ok := p.Choose(leftPause, Slot, 1, nil); !ok {
+	p.Advance(releaseDelay)
+	if _, ok := p.Choose(releaseDelay, Slot, 1, nil); !ok {
 		t.Fatal("the slot never came back")
 	}
 }
 
-// Retries may be a fifth of the openings, so that they cannot multiply the load
-// on targets that fail already.
+// Guards against retries multiplying the load on failing targets: they are
+// limited to a fifth of the openings.
 func TestRetryBudget(t *testing.T) {
 	b := NewBudget()
 	spent := 0
--- a/internal/balance/budget.go
+++ b/internal/balance/budget.go
@@ -1,23 +1,24 @@
 package balance
 
 // Budget limits retries to a share of the openings, so that retries cannot
-// multiply the load on targets that are already failing.
+// multiply the load on failing targets. It is a token bucket filled by
+// openings.
 type Budget struct {
 	tokens float64
 }
 
 const (
-	retryRatio = 0.2
-	retryBurst = 20
+	retryRatio = 0.2 // tokens added by each opening
+	retryBurst = 20  // tokens at most
 )
 
 // NewBudget returns a full budget.
 func NewBudget() Budget { return Budget{tokens: retryBurst} }
 
-// Opened notes a new opening.
+// Opened adds the share of a new opening to the budget.
 func (b *Budget) Opened() { b.tokens = min(b.tokens+retryRatio, retryBurst) }
 
-// Take spends one retry, or reports that none is left.
+// Take takes one retry from the budget. It returns false if none is left.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/balance/explain.go
+++ b/internal/balance/explain.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Explanation is a choice with what led to it.
+// Explanation is the target that Choose would return, with the state of every
+// target.
 type Explanation struct {
 	Choice  uint32
 	Why     string
 	Targets []TargetNote
 }
 
-// TargetNote is one target's part in a choice.
+// TargetNote is the state of one target when a choice was made.
 type TargetNote struct {
 	ID       uint32
-	Place    int // in the flow's own order, from 1
+	Place    int // position in the flow's rendezvous order, from 1
 	Eligible bool
 	Load     float64
 	Limit    int
 	Note     string
 }
 
-// Explain repeats Choose without its side effects.
+// Explain makes the same choice as Choose without changing the pool.
 func (p *Pool) Explain(now time.Duration, u Unit, key uint64) Explanation {
 	var x Explanation
 	total, n := 0.0, 0
@@ -52,7 +53,7 @@
 	switch {
 	case !t.Eligible:
 		return "draining, leaving or unhealthy"
-	case !t.room(u, homes):
+	case !t.hasRoom(u, homes):
 		return "full"
 	case now < t.shedUntil:
 		return "refused an opening just now"
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -1,6 +1,6 @@
-// Package balance chooses the target of a new flow and accounts for the work
-// that flows hold at the targets of one service. It does no I/O: the caller
-// passes the time.
+// Package balance chooses the target of a new flow and accounts for the
+// connections and slots that flows use at the targets of one service. It does
+// no I/O: the caller passes the time.
 package balance
 
 import (
@@ -9,25 +9,25 @@
 	"rosedale.dev/rosedale/internal/rendezvous"
 )
 
-// ShedPause keeps a target that refused an opening out of the choice, and an
-// opening without retry budget in the queue.
+// ShedPause is the time for which a target that refused an opening is not
+// chosen, and for which an opening without retry budget stays in the queue.
 const ShedPause = 200 * time.Millisecond
 
-// Pool holds the targets of one service as one balancer sees them. It is not
-// safe for concurrent use.
+// Pool is the set of targets of one service as one balancer sees them. It is
+// not safe for concurrent use.
 type Pool struct {
-	Policy Policy
-	Slack  float64
-	homes  int            // balancers that choose for this service
-	avg    [units]float64 // average load at the last choice
-	list   []*state
-	byID   map[uint32]*state
-	Queue  Queue
-	Budget Budget
-	pace   pace
-	turn   uint64 // slots taken so far
-	slots  int    // in use, at all targets
-	left   []leftUnit
+	Policy     Policy
+	Slack      float64
+	homes      int            // balancers that choose for this service
+	avg        [units]float64 // average load at the last choice
+	list       []*state
+	byID       map[uint32]*state
+	Queue      Queue
+	Budget     Budget
+	slotRate   slotRate
+	turn       uint64 // number of slots taken so far
+	slotsInUse int    // in use, at all targets
+	delayed    []delayedRelease
 }
 
 // NewPool returns an empty pool.
@@ -36,14 +36,14 @@
 }
 
 // Update replaces the targets. Accounting is kept for targets that stay, and
-// for targets that went while flows still hold them.
+// for removed ones while flows still use them.
 func (p *Pool) Update(now time.Duration, homes int, targets []Target) {
 	p.homes = max(homes, 1)
-	first := len(p.list) == 0
+	initial := len(p.list) == 0
 	keep := map[uint32]bool{}
 	for _, t := range targets {
 		keep[t.ID] = true
-		p.update(now, first, t)
+		p.update(now, initial, t)
 	}
 	for id, s := range p.byID {
 		if keep[id] {
@@ -60,29 +60,31 @@
 	}
 }
 
-func (p *Pool) update(now time.Duration, first bool, t Target) {
+func (p *Pool) update(now time.Duration, initial bool, t Target) {
 	s := p.byID[t.ID]
 	if s == nil {
 		s = &state{}
 		p.byID[t.ID] = s
 	}
-	began := t.Eligible && !s.Eligible
+	becameEligible := t.Eligible && !s.Eligible
 	s.Target = t
-	if began {
+	if becameEligible {
 		s.rampFrom = now
 		s.credit = 0
 	}
-	// All targets of a new pool are as warm as each other.
-	if began && first {
+	// The targets of a new pool skip the slow start: it is relative to other
+	// targets, and here all are equally new.
+	if becameEligible && initial {
 		s.rampFrom = now - t.Ramp
 	}
 }
 
-// Empty reports whether the service has no targets at all.
+// Empty reports whether the service has no targets.
 func (p *Pool) Empty() bool { return len(p.list) == 0 }
 
-// Choose picks a target with room for a flow, skipping those in tried. It
-// does not account for the flow: Hold does.
+// Choose returns a target with room for one more unit u, skipping those in
+// tried. Key is the flow's hash. It does not account for the flow; see
+// Acquire.
 func (p *Pool) Choose(now time.Duration, u Unit, key uint64, tried []uint32) (uint32, bool) {
 	for _, t := range p.list {
 		t.accrue(now, len(p.list))
@@ -90,11 +92,11 @@
 	if id, ok := p.choose(now, u, key, tried, true); ok {
 		return id, true
 	}
-	// Only ramping targets have room: better than to wait.
+	// Only targets in slow start have room; using them is better than queueing.
 	return p.choose(now, u, key, tried, false)
 }
 
-// choice collects what one pass over the targets finds.
+// choice is the result of one pass over the targets.
 type choice struct {
 	first, second, least                *state
 	firstScore, secondScore, leastScore uint64
@@ -112,7 +114,7 @@
 		load := t.load(u, p.homes, now, p.avg[u])
 		c.total += load
 		c.eligible++
-		if !t.room(u, p.homes) || now < t.shedUntil || strict && t.ramping(now) {
+		if !t.hasRoom(u, p.homes) || now < t.shedUntil || strict && t.ramping(now) {
 			continue
 		}
 		c.add(u, t, load, rendezvous.Score(key, t.Seed))
@@ -132,7 +134,7 @@
 	case c.second == nil || score > c.secondScore:
 		c.second, c.secondScore = t, score
 	}
-	if c.least == nil || load < c.leastLoad || load == c.leastLoad && c.beats(u, t, score) {
+	if c.least == nil || load < c.leastLoad || load == c.leastLoad && c.breaksTie(u, t, score) {
 		c.least, c.leastLoad, c.leastScore = t, load, score
 	}
 }
@@ -156,13 +158,14 @@
 	return c.least
 }
 
-// beats reports whether t goes before the least loaded target so far, which has
-// the same load. It does not prefer the own data centre: with two slots most
-// targets are equal most of the time, and the preference decided where half of
-// the requests went. For the same reason slots go round: the flow's own order
-// would leave the requests' spread to chance. Their home knows every slot, so
-// that nobody needs to find the choice again.
-func (c *choice) beats(u Unit, t *state, score uint64) bool {
+// breaksTie reports whether t is preferred to the least loaded target so far,
+// which has the same load. Targets of the local data centre are not preferred:
+// with two slots most targets are equally loaded most of the time, and the
+// preference would decide where half of the requests go. For the same reason
+// slots are given out in turn, least recently used first; the rendezvous order
+// would leave the distribution of requests to chance. Slots need no order that
+// others can recompute, since their home counts every one of them.
+func (c *choice) breaksTie(u Unit, t *state, score uint64) bool {
 	if u == Slot && t.turn != c.least.turn {
 		return t.turn < c.least.turn
 	}
@@ -178,7 +181,7 @@
 	return false
 }
 
-// Acquire accounts for a flow of unit u at target id.
+// Acquire counts one unit u at target id.
 func (p *Pool) Acquire(id uint32, u Unit) {
 	s := p.byID[id]
 	if s == nil {
@@ -188,13 +191,13 @@
 	s.used[u]++
 	s.credit = max(s.credit-1, 0)
 	if u == Slot {
-		p.slots++
+		p.slotsInUse++
 		p.turn++
 		s.turn = p.turn
 	}
 }
 
-// Release ends a Hold.
+// Release ends the count of one Acquire.
 func (p *Pool) Release(id uint32, u Unit) {
 	s := p.byID[id]
 	if s == nil || s.used[u] == 0 {
@@ -202,46 +205,48 @@
 	}
 	s.used[u]--
 	if u == Slot {
-		p.slots--
-		p.pace.end()
+		p.slotsInUse--
+		p.slotRate.requestEnded()
 	}
 }
 
-// Shed notes that target id refused an opening although the counts had room.
+// Shed records that target id refused an opening although it had room by its
+// counts.
 func (p *Pool) Shed(now time.Duration, id uint32) {
 	if s := p.byID[id]; s != nil {
 		s.shedUntil = now + ShedPause
 	}
 }
 
-// lostPauseMax bounds the time for which a target that leaves openings
+// maxUnansweredPause bounds the time for which a target that leaves openings
 // unanswered gets no new ones.
-const lostPauseMax = 10 * time.Second
+const maxUnansweredPause = 10 * time.Second
 
-// Unanswered notes that target id left an opening unanswered. Each further one
-// doubles the pause: a target that is down gets a new opening now and then,
-// whatever its health endpoint says.
+// Unanswered records that target id left an opening unanswered. Each
+// consecutive one doubles the pause, so that a dead target gets an opening
+// only occasionally, whatever its health endpoint reports.
 func (p *Pool) Unanswered(now time.Duration, id uint32) {
 	if s := p.byID[id]; s != nil {
-		s.shedUntil = now + min(ShedPause<<min(s.lost, 8), lostPauseMax)
-		s.lost++
+		s.shedUntil = now + min(ShedPause<<min(s.unanswered, 8), maxUnansweredPause)
+		s.unanswered++
 	}
 }
 
-// Accepted notes that target id accepted an opening.
+// Accepted records that target id accepted an opening.
 func (p *Pool) Accepted(id uint32) {
 	if s := p.byID[id]; s != nil {
-		s.lost = 0
+		s.unanswered = 0
 	}
 }
 
 // HasRoom reports whether target id can take one more unit.
 func (p *Pool) HasRoom(id uint32, u Unit) bool {
 	s := p.byID[id]
-	return s != nil && s.room(u, p.homes)
+	return s != nil && s.hasRoom(u, p.homes)
 }
 
-// Used returns what the flows of this balancer hold at target id.
+// Used returns how many units of u the flows of this balancer use at target
+// id.
 func (p *Pool) Used(id uint32, u Unit) int {
 	if s := p.byID[id]; s != nil {
 		return s.used[u]
@@ -249,8 +254,8 @@
 	return 0
 }
 
-// Order returns the target identifiers in the flow's own order, which every
-// balancer with the same catalogue computes alike.
+// Order returns the target identifiers in the rendezvous order of key, which
+// is the same at every balancer with the same catalogue.
 func (p *Pool) Order(key uint64) []uint32 {
 	seeds := make([]uint64, len(p.list))
 	for i, t := range p.list {
@@ -264,7 +269,7 @@
 	return out
 }
 
-// First returns the first target of the flow's own order, or 0.
+// First returns the first target in the rendezvous order of key, or 0.
 func (p *Pool) First(key uint64) uint32 {
 	best, id := uint64(0), uint32(0)
 	for _, t := range p.list {
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -6,28 +6,30 @@
 	"rosedale.dev/rosedale/internal/flow"
 )
 
-// Waiter is an opening packet that waits for room.
+// Waiter is an opening packet that waits for a target with room.
 type Waiter struct {
-	Key      flow.Key
-	Unit     Unit
-	Urgent   bool
-	Arrived  time.Duration
-	Deadline time.Duration
-	NotBefore    time.Duration // not to be admitted before, after a refused try
+	Key       flow.Key
+	Unit      Unit
+	Urgent    bool
+	Arrived   time.Duration
+	Deadline  time.Duration
+	NotBefore time.Duration // earliest admission, set after a refused attempt
 }
 
-// Queue is a bounded list of waiters. Urgent waiters go first, each class by
-// deadline; every fairShare-th admission goes to the longest waiting of the
-// others, so that a steady stream of urgent requests cannot starve them.
+// Queue is a bounded list of waiters. Urgent waiters go first, and each class
+// is ordered by deadline. Every fairShare-th admission goes to the longest
+// waiting of the others, so that a steady stream of urgent requests cannot
+// starve them.
 type Queue struct {
-	waiters []Waiter
-	served  int
-	// Admissions, fading with later ones; see share.
-	urgentServed, othersServed float64
+	waiters    []Waiter
+	admissions int
+	// Numbers of admissions, decaying with each further one; see
+	// admissionShare.
+	urgentAdmitted, othersAdmitted float64
 }
 
 const (
-	// MaxQueue bounds the waiters of one service.
+	// MaxQueue is the maximum number of waiters of one service.
 	MaxQueue  = 512
 	fairShare = 4
 )
@@ -35,9 +37,9 @@
 // Len returns the number of waiters.
 func (q *Queue) Len() int { return len(q.waiters) }
 
-// Push adds w. When the queue is full, an urgent waiter displaces the other
-// waiter with the latest deadline; the displaced one is returned with true.
-// The result's ok is false when w itself found no place.
+// Push adds w. When the queue is full, an urgent waiter displaces the
+// non-urgent waiter with the latest deadline, which is returned with displaced
+// set. ok is false if w was not added.
 func (q *Queue) Push(w Waiter) (out Waiter, displaced, ok bool) {
 	if len(q.waiters) < MaxQueue {
 		q.waiters = append(q.waiters, w)
@@ -60,14 +62,14 @@
 	return out, true, true
 }
 
-// Next returns the waiter of unit u to admit next, without removing it.
+// Next returns the waiter for unit u to admit next, without removing it.
 func (q *Queue) Next(now time.Duration, u Unit) (Waiter, bool) {
 	best, oldest := -1, -1
 	for i, w := range q.waiters {
 		if w.Unit != u || w.NotBefore > now {
 			continue
 		}
-		if best < 0 || w.ahead(q.waiters[best]) {
+		if best < 0 || w.precedes(q.waiters[best]) {
 			best = i
 		}
 		if !w.Urgent && (oldest < 0 || w.Arrived < q.waiters[oldest].Arrived) {
@@ -77,34 +79,35 @@
 	if best < 0 {
 		return Waiter{}, false
 	}
-	if oldest >= 0 && q.served%fairShare == fairShare-1 {
+	if oldest >= 0 && q.admissions%fairShare == fairShare-1 {
 		best = oldest
 	}
 	return q.waiters[best], true
 }
 
-func (w Waiter) ahead(o Waiter) bool {
+func (w Waiter) precedes(o Waiter) bool {
 	if w.Urgent != o.Urgent {
 		return w.Urgent
 	}
 	return w.Deadline < o.Deadline
 }
 
-// Remove takes the waiter of k out. Admitted tells whether it got its room.
+// Remove removes the waiter of k. Admitted says whether it got room, as
+// opposed to being refused or abandoned.
 func (q *Queue) Remove(k flow.Key, admitted bool) {
 	for i, w := range q.waiters {
 		if w.Key == k {
 			q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
 			if admitted {
-				q.served++
-				q.noteServed(w.Urgent)
+				q.admissions++
+				q.countAdmission(w.Urgent)
 			}
 			return
 		}
 	}
 }
 
-// Expired returns the waiters whose deadline is not after now.
+// Expired returns the waiters whose deadline has been reached.
 func (q *Queue) Expired(now time.Duration) []Waiter {
 	var out []Waiter
 	for _, w := range q.waiters {
--- a/internal/balance/report.go
+++ b/internal/balance/report.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// ReportAhead sets how many connections more than this balancer the peers
-// held at target id, summed over their last reports.
+// ReportAhead sets how many more connections than this balancer its peers had
+// at target id, summed over their last reports.
 func (p *Pool) ReportAhead(id uint32, connections int) {
 	if s := p.byID[id]; s != nil {
-		s.ahead = connections
+		s.peerExcess = connections
 	}
 }
 
-// ReportLoad notes the load that target id reported, where 1 is full.
+// ReportLoad records the load that target id reported, where 1 is full.
 func (p *Pool) ReportLoad(now time.Duration, id uint32, load float64) {
 	s := p.byID[id]
-	if s == nil || now <= s.reportAt {
+	if s == nil || now <= s.lastReportAt {
 		return
 	}
 	s.smooth(now, load)
@@ -23,9 +23,9 @@
 	}
 	avg := sum / float64(len(p.list))
 	for _, t := range p.list {
-		t.over = 0
-		if t.judged(now) && t.reported > avg+reportMargin {
-			t.over = min((t.reported-avg)/max(avg, reportMargin), maxOver)
+		t.excess = 0
+		if t.hasReliableLoad(now) && t.reported > avg+reportMargin {
+			t.excess = min((t.reported-avg)/max(avg, reportMargin), maxExcess)
 		}
 	}
 }
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -2,104 +2,110 @@
 
 import "time"
 
-// Target describes a target to a Pool.
+// Target is the description of a target given to a Pool.
 type Target struct {
 	ID       uint32
 	Seed     uint64 // rendezvous seed
-	Eligible bool   // active, not leaving and not known to be unhealthy
+	Eligible bool   // active, not leaving, and not known to be unhealthy
 	Limit    [units]int
-	// Ramp is the time over which a target that became eligible reaches its
-	// full share of new flows; zero means at once.
+	// Ramp is the slow-start time, over which a target that became eligible
+	// reaches its full share of new flows. Zero disables slow start.
 	Ramp time.Duration
 }
 
 // state is a Target with its accounting.
 type state struct {
 	Target
-	used [units]int // held by flows whose home is this balancer
-	turn uint64     // of the pool, when a slot of this target was last taken
-	// ahead is the sum over peers of how many connections more than this
-	// balancer they held at the time of their last reports.
-	ahead int
-	// rampFrom is when the target became eligible; credit is its unused
-	// share of the new flows since then.
-	rampFrom  time.Duration
-	credit    float64
-	shedUntil time.Duration
-	lost      int // openings left unanswered in a row
-	// reported is the smoothed load that the target's endpoint reports, where
-	// 1 is full, and over is the work that no flow of ours explains, as a
-	// multiple of an average target's.
-	reported float64
-	reportAt time.Duration
-	reports  time.Duration // of the first report
-	over     float64
+	used [units]int // used by flows whose home is this balancer
+	turn uint64     // Pool.turn when a slot of this target was last taken
+	// peerExcess is the sum over peers of how many more connections than this
+	// balancer they had at their last reports.
+	peerExcess int
+	// rampFrom is when the target became eligible. credit is the part of its
+	// share of new flows since then that it has not used.
+	rampFrom   time.Duration
+	credit     float64
+	shedUntil  time.Duration
+	unanswered int // consecutive openings left unanswered
+	// reported is the smoothed load reported by the target's endpoint, where 1
+	// is full. excess is the work not explained by flows of these balancers,
+	// as a multiple of an average target's work.
+	reported      float64
+	lastReportAt  time.Duration
+	firstReportAt time.Duration // time of the first report
+	excess        float64
 }
 
 const (
-	// reportMemory smooths reported loads, and is the age at which the last
-	// one is forgotten: the endpoints lag and are sampled seldom, so that a
-	// single report says nothing about the moment.
-	reportMemory = 10 * time.Second
-	// reportMargin above the other targets' average is taken for noise.
+	// reportWindow is the smoothing time of reported loads, and the age at
+	// which the last report is discarded. The endpoints lag and are sampled
+	// rarely, so that a single report says little about the current load.
+	reportWindow = 10 * time.Second
+	// reportMargin is the difference from the average load that is treated as
+	// noise.
 	reportMargin = 0.25
-	// maxOver bounds what a report can claim, in average targets' work.
-	maxOver   = 1.0
+	// maxExcess bounds the excess that a report can add, in multiples of an
+	// average target's work.
+	maxExcess = 1.0
+	// rampFloor is the share of new flows at the start of the slow start, and
+	// rampBurst bounds the credit that an unused share adds up to.
 	rampFloor = 0.1
 	rampBurst = 2
 )
 
-// load estimates the target's work in units. Work that no flow of ours
-// explains counts as a share of avg, the pool's average load. Slots need no
-// reports: their home counts them exactly, a target with other work gives them
-// back later, and a report of two slots is mostly chance.
+// load estimates the target's work in units. The excess counts as a share of
+// avg, the pool's average load. Reports are not used for slots: their home
+// counts them exactly, a target with other work frees them later, which the
+// counts include, and a load report about two slots is mostly noise.
 func (t *state) load(u Unit, homes int, now time.Duration, avg float64) float64 {
-	n := float64(t.held(u, homes))
-	if u == Connection && t.over > 0 && now-t.reportAt < reportMemory {
-		n += t.over * (avg + 1)
+	n := float64(t.estimatedUse(u, homes))
+	if u == Connection && t.excess > 0 && now-t.lastReportAt < reportWindow {
+		n += t.excess * (avg + 1)
 	}
 	return n
 }
 
-// smooth takes a reported load into the average of the last seconds.
+// smooth adds a reported load to the moving average.
 func (t *state) smooth(now time.Duration, load float64) {
-	if now-t.reportAt >= reportMemory || t.reports == 0 {
-		t.reported, t.reports = load, now
+	if now-t.lastReportAt >= reportWindow || t.firstReportAt == 0 {
+		t.reported, t.firstReportAt = load, now
 	}
-	w := float64(now-t.reportAt) / float64(reportMemory)
+	w := float64(now-t.lastReportAt) / float64(reportWindow)
 	t.reported += (load - t.reported) * min(w, 1)
-	t.reportAt = now
+	t.lastReportAt = now
 }
 
-// judged reports whether the smoothed load covers enough time to mean anything:
-// a new home would otherwise avoid the targets that its first sample found busy.
-func (t *state) judged(now time.Duration) bool {
-	return t.reports > 0 && now-t.reports >= reportMemory
+// hasReliableLoad reports whether the smoothed load covers a full window. A
+// new home would otherwise avoid the targets that were busy in its first
+// sample.
+func (t *state) hasReliableLoad(now time.Duration) bool {
+	return t.firstReportAt > 0 && now-t.firstReportAt >= reportWindow
 }
 
-// held estimates the units that all homes' flows hold at the target. Peers
-// choose as this balancer does, so that each is taken to hold what this one
-// holds now plus what it was ahead when it last reported: with lagging counts
-// alone every home would fill the same least loaded target at once.
-func (t *state) held(u Unit, homes int) int {
+// estimatedUse estimates the units that the flows of all homes use at the
+// target. Peers choose as this balancer does, so each of them is assumed to
+// use what this one uses plus its excess at its last report. With the lagging
+// reports alone, all homes would choose the same least loaded target at once.
+func (t *state) estimatedUse(u Unit, homes int) int {
 	if u == Slot {
 		return t.used[Slot]
 	}
-	return max(t.used[Connection]*homes+t.ahead, t.used[Connection])
+	return max(t.used[Connection]*homes+t.peerExcess, t.used[Connection])
 }
 
-// room reports whether the target can take one flow more. The last free
-// connections, one for each other home, stay unused: homes with lagging counts
-// would overfill the target together.
-func (t *state) room(u Unit, homes int) bool {
+// hasRoom reports whether the target can take one more flow. One connection
+// for each other home is kept in reserve, since homes with lagging counts
+// could otherwise exceed the target's limit together.
+func (t *state) hasRoom(u Unit, homes int) bool {
 	if u == Slot {
 		return t.used[Slot] < t.Limit[Slot]
 	}
-	return t.held(Connection, homes)+homes <= t.Limit[Connection]
+	return t.estimatedUse(Connection, homes)+homes <= t.Limit[Connection]
 }
 
-// ramping reports whether the target must skip a new flow. Each new flow of
-// the pool gives a ramping target a growing part of an equal share.
+// ramping reports whether slow start excludes the target from the next choice.
+// Each new flow of the pool gives a target in slow start a growing part of an
+// equal share.
 func (t *state) ramping(now time.Duration) bool {
 	return t.Ramp > 0 && now-t.rampFrom < t.Ramp && t.credit < 1
 }
