--- a/internal/router/action.go
+++ b/internal/router/action.go
@@ -6,20 +6,20 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// Destination says where an Action sends its packet.
+// Destination is the kind of receiver of an Action's packet.
 type Destination uint8
 
 const (
-	// ToTarget sends to a target under its service's number.
+	// ToTarget sends to a target, with its service's number as VNI.
 	ToTarget Destination = iota + 1
-	// ToCaller sends to the fabric, which delivers to the caller.
+	// ToCaller sends to the fabric, which delivers the packet to the caller.
 	ToCaller
-	// ToPeer sends to another balancer with a hop option.
+	// ToPeer sends to another balancer, with a hop option.
 	ToPeer
 )
 
 // Action is one packet to send. Packet aliases the handled datagram or is
-// newly built; it must be sent before that datagram's buffer is reused.
+// newly allocated; it must be sent before the datagram's buffer is reused.
 type Action struct {
 	To     Destination
 	Target netip.Addr     // for ToTarget
@@ -29,27 +29,27 @@
 	Packet []byte
 }
 
-// Output collects the actions of one call and is reused between calls.
+// Output collects the actions and decisions of one call. It can be reused.
 type Output struct {
 	Actions   []Action
 	Decisions []Decision
 }
 
-// Reset empties o.
+// Reset empties o and keeps its memory.
 func (o *Output) Reset() {
 	o.Actions = o.Actions[:0]
 	o.Decisions = o.Decisions[:0]
 }
 
-func (o *Output) target(v *View, id uint32, p []byte) {
+func (o *Output) sendToTarget(v *View, id uint32, p []byte) {
 	t := &v.Targets[id]
 	o.Actions = append(o.Actions, Action{To: ToTarget, Target: t.Addr, VNI: t.Service, Packet: p})
 }
 
-func (o *Output) caller(p []byte) {
+func (o *Output) sendToCaller(p []byte) {
 	o.Actions = append(o.Actions, Action{To: ToCaller, Packet: p})
 }
 
-func (o *Output) peer(v *View, node int, vni uint32, h geneve.Hop, p []byte) {
+func (o *Output) sendToPeer(v *View, node int, vni uint32, h geneve.Hop, p []byte) {
 	o.Actions = append(o.Actions, Action{To: ToPeer, Peer: v.Nodes[node].Data, VNI: vni, Hop: h, Packet: p})
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -5,11 +5,11 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// answerSlow handles a target's packet that the fast path left: acceptances,
-// ends, resets, and answers of flows that this balancer does not know.
+// answerSlow handles a target's packet that the fast path does not: SYN-ACKs,
+// FINs, resets, and answers of flows that this balancer does not know.
 func (c *call) answerSlow(id uint32) {
-	if c.has && c.hop.Kind == geneve.Correct {
-		c.correct(id)
+	if c.hasHop && c.hop.Kind == geneve.Correct {
+		c.applyCorrection(id)
 		return
 	}
 	if c.isHome() || c.hop.Count >= openingHops {
@@ -24,19 +24,19 @@
 	if c.seg.IsReset() && c.recordedAt(id) {
 		hop.Flags |= geneve.FlagRecorded
 	}
-	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
+	c.out.sendToPeer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
-// recordedAt reports whether the flow is on record here at a target.
+// recordedAt reports whether this balancer has the flow recorded at target id.
 func (c *call) recordedAt(id uint32) bool {
 	e, ok := c.load()
 	return ok && e.Target == id && (isLive(e.State) || e.State == flow.Closing)
 }
 
-// learn records the target of a passing answer. The answer itself goes to the
-// home, which corrects the record if it has another target.
+// learn records the target of an answer that is forwarded to the home. The
+// home corrects the record if it has another target.
 func (c *call) learn(id uint32) {
-	if c.has || c.seg.IsAccept() || c.seg.IsReset() {
+	if c.hasHop || c.seg.IsAccept() || c.seg.IsReset() {
 		return
 	}
 	c.r.mu.Lock()
@@ -44,9 +44,9 @@
 	now := tick(c.now)
 	e, ok := c.load()
 	if e.Flags&flow.Counted != 0 || c.r.openings[c.key] != nil || e.State == flow.Accepted {
-		return // decided here: only the home's word changes it
+		return // decided here: only the home may change it
 	}
-	if c.onlyHints(&e, ok, id) {
+	if c.storeHint(&e, ok, id) {
 		return
 	}
 	if !ok || e.State == flow.Hinted {
@@ -54,8 +54,8 @@
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Learned}
 	}
 	if e.Target != id {
-		// A later flow of the same ports, or a stray of an earlier one: the
-		// home that gets this answer next corrects the latter.
+		// Either a later flow of the same ports or a late packet of an earlier
+		// one. The home gets this answer next and corrects the latter.
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Learned}
 	}
 	e.LastPacket, e.LastAnswer = now, now
@@ -68,15 +68,17 @@
 	c.r.store(e)
 }
 
-// onlyHints reports whether an answer does not show that the target has the
-// flow, and keeps it as a hint.
+// storeHint stores a hint, and returns true, if the answer does not prove that
+// its target has the flow.
 //
-// Failure: a target's SYN-ACK is lost, it answers the repeated opening packet
-// with a bare acknowledgement, and the opening goes to another target. It shows
-// as a balancer that sends the caller's payload to the target left behind. A
-// bare acknowledgement counts only when a later one differs: the flow moved on.
-func (c *call) onlyHints(e *flow.Entry, known bool, id uint32) bool {
-	if !c.isBare() {
+// When a target's SYN-ACK is lost, it answers the retransmitted opening packet
+// with a bare acknowledgement, and the opening may then go to another target.
+// A balancer that learned the first target from that acknowledgement would
+// send the caller's payload there. A bare acknowledgement therefore counts
+// only if a later one has another number, which shows that the flow
+// progresses.
+func (c *call) storeHint(e *flow.Entry, known bool, id uint32) bool {
+	if !c.isBareAck() {
 		return false
 	}
 	hinted := known && e.State == flow.Hinted
@@ -90,19 +92,20 @@
 	return true
 }
 
-// isBare reports whether an answer carries neither payload nor an end.
-func (c *call) isBare() bool { return c.seg.PayloadLen == 0 && !c.seg.IsFin() }
+// isBareAck reports whether an answer carries neither payload nor FIN.
+func (c *call) isBareAck() bool { return c.seg.PayloadLen == 0 && !c.seg.IsFin() }
 
-// correct replaces a learned target, or the candidate of a probe, by the home's. It never
-// touches a flow that this balancer decided itself.
-func (c *call) correct(id uint32) {
+// applyCorrection replaces the target of a learned flow, or the candidate of a
+// probe, by the target that the home has recorded. It does not change flows
+// that this balancer decided on.
+func (c *call) applyCorrection(id uint32) {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	e, ok := c.load()
 	if !ok || e.Flags&flow.Counted != 0 || e.State != flow.Learned && e.State != flow.Probing {
 		return
 	}
-	c.decide(FlowCorrected, &e)
+	c.report(FlowCorrected, &e)
 	if e.State == flow.Probing {
 		c.endProbe(&e, id)
 		return
@@ -114,25 +117,25 @@
 func (c *call) answerAtHome(id uint32) {
 	e, ok := c.load()
 	ok = ok && e.State != flow.Spilled && e.State != flow.Hinted
-	if ok && c.hop.Flags&geneve.FlagFormer != 0 && e.State != flow.Handed && !c.accepts(&e, id) {
+	if ok && c.hop.Flags&geneve.FlagFormer != 0 && e.State != flow.Handed && !c.matchesRecord(&e, id) {
 		ok = false
-		c.hop.Flags |= geneve.FlagCrossed // so that nobody adopts it
+		c.hop.Flags |= geneve.FlagCrossed // so that no balancer adopts the flow
 	}
-	if c.seg.IsAccept() && c.acceptOfAnother(&e, ok, id) {
+	if c.seg.IsAccept() && c.unexpectedAccept(&e, ok, id) {
 		return
 	}
 	switch {
-	case !ok || e.State == flow.Handed || c.acceptedByOther(&e, id) || c.foundAtOther(&e, id):
+	case !ok || e.State == flow.Handed || c.acceptedElsewhere(&e, id) || c.answeredByOther(&e, id):
 		c.adoptAnswer(id)
 	case e.Target != id:
-		c.crossed(&e, id)
+		c.dropCrossed(&e, id)
 	default:
-		c.answerOfTarget(&e)
+		c.answerFromTarget(&e)
 	}
 }
 
-// answerOfTarget handles an answer of a flow's recorded target.
-func (c *call) answerOfTarget(e *flow.Entry) {
+// answerFromTarget handles an answer from the flow's recorded target.
+func (c *call) answerFromTarget(e *flow.Entry) {
 	now := tick(c.now)
 	e.LastPacket, e.LastAnswer = now, now
 	if e.Answers < 255 {
@@ -140,25 +143,27 @@
 	}
 	switch {
 	case c.seg.IsReset():
-		c.targetReset(e)
+		c.resetFromTarget(e)
 	case c.seg.IsAccept():
-		c.accepted(e)
+		c.deliverAccept(e)
 	case e.State == flow.Probing && !c.answersProbe(e):
-		c.decide(DropCrossedAnswer, e)
+		c.report(DropCrossedAnswer, e)
 	case e.State == flow.Opening:
-		// A challenge to the opening from an older flow of the same ports:
-		// the caller answers it with a reset that clears the way.
-		c.out.caller(c.seg.Raw)
+		// The target has an older flow with the same ports and sends a
+		// challenge ACK (RFC 5961). The caller answers with a reset, which
+		// ends that flow.
+		c.out.sendToCaller(c.seg.Raw)
 	default:
-		c.answered(e)
+		c.deliverAnswer(e)
 	}
 }
 
-func (c *call) answered(e *flow.Entry) {
-	if e.State == flow.Accepted && c.isBare() {
-		// It may answer a repeated opening packet: the caller has not confirmed.
+func (c *call) deliverAnswer(e *flow.Entry) {
+	if e.State == flow.Accepted && c.isBareAck() {
+		// This may answer a retransmitted opening packet, so it does not show
+		// that the caller has acknowledged the SYN-ACK.
 		c.r.store(*e)
-		c.out.caller(c.seg.Raw)
+		c.out.sendToCaller(c.seg.Raw)
 		return
 	}
 	switch e.State {
@@ -169,60 +174,61 @@
 	if c.seg.HasAck() {
 		e.Seq = c.seg.Ack
 	}
-	c.out.caller(c.seg.Raw)
+	c.out.sendToCaller(c.seg.Raw)
 	if c.seg.IsFin() {
-		c.end(e)
+		c.endFlow(e)
 		return
 	}
-	if e.State == flow.Open && c.showsLife() {
-		c.r.hold(e, c.addr.Service, c.addr.Unit())
+	if e.State == flow.Open && c.provesActive() {
+		c.r.acquire(e, c.addr.Service, c.addr.Unit())
 	}
 	c.r.store(*e)
 }
 
-func (c *call) accepted(e *flow.Entry) {
+func (c *call) deliverAccept(e *flow.Entry) {
 	if e.State == flow.Opening {
 		e.State = flow.Accepted
 		e.Seq = c.seg.Seq
 		c.r.Increment(FlowOpened)
 		c.r.pools[c.addr.Service].Accepted(e.Target)
 		if o := c.r.openings[e.Key]; o != nil {
-			c.r.finish(e.Key, o)
+			c.r.removeOpening(e.Key, o)
 		}
 	}
 	c.r.store(*e)
-	c.out.caller(c.seg.Raw)
+	c.out.sendToCaller(c.seg.Raw)
 }
 
-// targetReset handles a reset from the recorded target.
-func (c *call) targetReset(e *flow.Entry) {
+// resetFromTarget handles a reset from the flow's recorded target.
+func (c *call) resetFromTarget(e *flow.Entry) {
 	switch e.State {
 	case flow.Opening:
-		c.shed(e)
+		c.openingRefused(e)
 	case flow.Probing:
 		c.probeRejected(e)
 	default:
 		if c.refusesOpening() {
-			c.decide(DropLateRefusal, e)
+			c.report(DropLateRefusal, e)
 			return
 		}
-		c.decide(ResetByTarget, e)
-		c.out.caller(c.seg.Raw)
-		c.end(e)
+		c.report(ResetByTarget, e)
+		c.out.sendToCaller(c.seg.Raw)
+		c.endFlow(e)
 	}
 }
 
-// refusesOpening reports whether a reset answers an opening packet: it then
-// has no number of its own (RFC 9293, section 3.10.7.1).
+// refusesOpening reports whether a reset answers an opening packet; it then
+// has sequence number 0 (RFC 9293, section 3.10.7.1).
 //
-// Failure: a target refuses one copy of an opening packet and accepts a later
-// one, and the refusal arrives last. It shows as a live flow that is taken for
-// ended: its slot is given away, and a further copy of the opening packet opens
-// it at another target. The caller ignores such a reset once it was accepted.
+// A target may refuse one copy of an opening packet and accept a later one,
+// and the refusal may arrive last. If it were taken for the end of the flow,
+// the slot of a live flow would be released, and a further copy of the opening
+// packet would open it at another target. The caller ignores such a reset once
+// its connection is established.
 func (c *call) refusesOpening() bool { return c.seg.Seq == 0 && c.seg.HasAck() }
 
-// shed handles a target that refuses an opening: it goes to another target.
-func (c *call) shed(e *flow.Entry) {
+// openingRefused sends an opening that its target refused to another target.
+func (c *call) openingRefused(e *flow.Entry) {
 	o := c.r.openings[e.Key]
 	if o == nil {
 		c.r.remove(e.Key)
@@ -230,30 +236,32 @@
 	}
 	c.r.pools[c.addr.Service].Shed(c.now, e.Target)
 	c.r.release(e, c.addr.Service, c.addr.Unit())
-	c.r.retryShed(c.now, c.v, e, o, c.out)
+	c.r.retryRefused(c.now, c.v, e, o, c.out)
 	c.admitWaiting(c.addr.Service)
 }
 
-// adoptAnswer handles an answer of a flow that its home does not know, since
-// another balancer was home when it opened: the target has the flow.
+// adoptAnswer handles an answer of a flow that its home does not know because
+// another balancer was home when it opened. The answer shows that the target
+// has the flow.
 //
-// A reset passes only for a flow that some balancer has on record at the target: it may be
-// a candidate's rejection of another balancer's probe. Others go along the flow's order to
-// the balancer that probes.
+// A reset is forwarded to the caller only if some balancer has the flow
+// recorded at that target, since it may be a candidate's rejection of another
+// balancer's probe. Other resets are passed along the flow's rendezvous order
+// to the balancer that probes.
 func (c *call) adoptAnswer(id uint32) {
 	if c.seg.IsReset() && c.hop.Flags&geneve.FlagRecorded == 0 {
 		if !c.askFormerHome(id, 0) {
-			c.decide(DropUnknownReset, nil)
+			c.report(DropUnknownReset, nil)
 		}
 		return
 	}
-	c.out.caller(c.seg.Raw)
+	c.out.sendToCaller(c.seg.Raw)
 	if c.seg.IsReset() {
-		c.decide(ResetByTarget, nil)
+		c.report(ResetByTarget, nil)
 		return
 	}
-	if c.isBare() && !c.seg.IsAccept() {
-		return // which does not show that the target has the flow
+	if c.isBareAck() && !c.seg.IsAccept() {
+		return // a bare acknowledgement does not prove that the target has the flow
 	}
 	e := flow.Entry{Key: c.key, Target: id, Seq: c.seg.Ack, LastPacket: tick(c.now), LastAnswer: tick(c.now), State: flow.Open}
 	if c.seg.IsAccept() {
@@ -262,10 +270,10 @@
 	}
 	if c.seg.IsFin() {
 		e.State = flow.Closing
-	} else if c.isHome() && (c.seg.IsAccept() || c.showsLife()) {
-		c.r.hold(&e, c.addr.Service, c.addr.Unit())
+	} else if c.isHome() && (c.seg.IsAccept() || c.provesActive()) {
+		c.r.acquire(&e, c.addr.Service, c.addr.Unit())
 	}
-	c.decide(FlowAdopted, &e)
+	c.report(FlowAdopted, &e)
 	if !c.r.store(e) {
 		c.r.release(&e, c.addr.Service, c.addr.Unit())
 		c.r.Increment(DropTableFull)
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -7,9 +7,9 @@
 	"rosedale.dev/rosedale/internal/balance"
 )
 
-// SetView puts v in force: pools get their targets, and flows whose home came
-// to this balancer or went from it are counted anew. It returns the flows that
-// their new homes have to be told of.
+// SetView replaces the view. Pools get their targets, and flows whose home
+// changed to or from this balancer are counted or released. It returns the
+// flows to hand over to their new homes.
 func (r *Router) SetView(now time.Duration, v *View) []Moved {
 	v.index()
 	old := r.install(now, v)
@@ -19,7 +19,7 @@
 	return r.recount(now, v)
 }
 
-// install updates the pools and publishes v. It returns the view before.
+// install updates the pools and publishes v. It returns the previous view.
 func (r *Router) install(now time.Duration, v *View) *View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,29 +54,29 @@
 	return true
 }
 
-// located is an Address with the IP address and port that callers use.
-type located struct {
+// serviceAddress is an Address with the IP address and port that callers use.
+type serviceAddress struct {
 	Address
 	addr netip.AddrPort
 }
 
-// index prepares the lookups of addresses.
+// index builds the lookup tables of addresses.
 func (v *View) index() {
-	v.byID = make(map[uint32]located, len(v.Addresses))
+	v.byID = make(map[uint32]serviceAddress, len(v.Addresses))
 	v.byAddr = newAddressIndex(len(v.Addresses))
 	for ap, a := range v.Addresses {
-		v.byID[a.ID] = located{a, ap}
+		v.byID[a.ID] = serviceAddress{a, ap}
 		v.byAddr.add(ap, &a)
 	}
 }
 
-func (v *View) addressByID(id uint32) (located, bool) {
+func (v *View) addressByID(id uint32) (serviceAddress, bool) {
 	a, ok := v.byID[id]
 	return a, ok
 }
 
-// ReportAhead sets, by target identifier, how many connections more than this
-// balancer its peers hold. Targets that are missing are even.
+// ReportAhead sets, by target identifier, how many more connections than this
+// balancer its peers have. Targets missing from the map count as equal.
 func (r *Router) ReportAhead(ahead map[uint32]int) {
 	v := r.view.Load()
 	r.mu.Lock()
@@ -88,7 +88,8 @@
 	}
 }
 
-// ReportLoad sets the load that a target's endpoint reported.
+// ReportLoad records the load, where 1 is full, that a target's endpoint
+// reported.
 func (r *Router) ReportLoad(now time.Duration, id uint32, load float64) {
 	v := r.view.Load()
 	r.mu.Lock()
@@ -98,14 +99,16 @@
 	}
 }
 
-// TargetUsage is what the flows of this balancer hold at one target.
+// TargetUsage is the number of connections and slots that the flows of this
+// balancer use at one target.
 type TargetUsage struct {
 	Target      uint32
 	Connections int
 	Slots       int
 }
 
-// Usage returns the non-zero holdings, by target identifier.
+// Usage returns the usage of every target that is in use, by target
+// identifier.
 func (r *Router) Usage() []TargetUsage {
 	v := r.view.Load()
 	r.mu.Lock()
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -14,9 +14,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// benchmarkKnownFlow is the decision for a packet of one of n known flows, from
-// the parsed encapsulation to the action. As after a receive, the packet is in
-// the processor's cache; the flow's entry need not be.
+// benchmarkKnownFlow measures the decision for a packet of one of n known
+// flows, from the decoded encapsulation to the action. As after a receive, the
+// packet is in the processor's cache; the flow's entry need not be.
 func benchmarkKnownFlow(b *testing.B, n int) {
 	r, v := newTestRouter(0, 7, 14)
 	out := &Output{}
@@ -47,8 +47,8 @@
 func BenchmarkKnownFlow1e4(b *testing.B) { benchmarkKnownFlow(b, 10_000) }
 func BenchmarkKnownFlow1e5(b *testing.B) { benchmarkKnownFlow(b, 100_000) }
 
-// BenchmarkOpening is a whole opening at the flow's home: the caller's SYN and
-// the target's SYN-ACK.
+// BenchmarkOpening measures a whole opening at the flow's home: the caller's
+// SYN and ACK and the target's SYN-ACK.
 func BenchmarkOpening(b *testing.B) {
 	r, v := newTestRouter(0, 1, 14)
 	out := &Output{}
@@ -60,8 +60,8 @@
 	}
 }
 
-// benchmarkRecount is what a change of members costs the data path's slow lock
-// with n flows and the 55 nodes of a large data centre.
+// benchmarkRecount measures SetView when one of the 55 nodes of a large data
+// centre joins or leaves, with n flows. It holds the slow path's lock.
 func benchmarkRecount(b *testing.B, n int) {
 	r, _ := newTestRouter(0, 55, 14)
 	out := &Output{}
@@ -82,8 +82,8 @@
 func BenchmarkRecount1e5(b *testing.B) { benchmarkRecount(b, 100_000) }
 func BenchmarkRecount1e6(b *testing.B) { benchmarkRecount(b, 1_000_000) }
 
-// BenchmarkTick650 is a tick of a balancer with the target's 650 services of
-// ten targets each, none of which has anything to do.
+// BenchmarkTick650 measures a tick of a balancer with 650 idle services of ten
+// targets each.
 func BenchmarkTick650(b *testing.B) {
 	const services, targets = 650, 10
 	v := testView(0, 7, 1)
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -5,17 +5,20 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// hopLimit bounds the balancers that one packet passes, whatever their views.
+// hopLimit is the number of balancers that may pass on one packet, whatever
+// their views.
 const hopLimit = 8
 
 const (
-	// openingHops is how far an opening travels while views disagree.
+	// openingHops is the number of hops of an opening packet to its home while
+	// views differ.
 	openingHops = 2
-	// spillHops is how far it may have come before another group got it.
+	// spillHops is the number of hops that an opening packet may have made
+	// before it was passed to another group.
 	spillHops = 2
 )
 
-// hopsLeft reports whether an opening may still be passed to its home.
+// hopsLeft reports whether an opening packet may still be passed to its home.
 func (c *call) hopsLeft() bool {
 	if c.spilled {
 		return c.hop.Count < openingHops+spillHops
@@ -23,30 +26,30 @@
 	return c.hop.Count < openingHops
 }
 
-// callerSlow handles a caller's packet that no entry here can place.
+// callerSlow handles a caller's packet that the fast path does not.
 func (c *call) callerSlow() {
 	switch {
 	case c.hop.Count >= hopLimit:
 		c.r.Increment(DropHopLimit)
 	case c.seg.IsOpening():
-		c.opening()
-	case c.has && c.hop.Kind == geneve.Silent && c.hop.Flags&geneve.FlagAsked != 0:
-		c.objectToSilence()
-	case c.has && c.hop.Kind == geneve.Silent && c.hop.Flags&geneve.FlagAnswered != 0:
-		c.heedObjection()
-	case c.has && c.hop.Kind == geneve.Silent:
+		c.handleOpening()
+	case c.hasHop && c.hop.Kind == geneve.Silent && c.hop.Flags&geneve.FlagAsked != 0:
+		c.reportRecentAnswer()
+	case c.hasHop && c.hop.Kind == geneve.Silent && c.hop.Flags&geneve.FlagAnswered != 0:
+		c.handleObjection()
+	case c.hasHop && c.hop.Kind == geneve.Silent:
 		c.silentAtHome()
-	case c.has:
-		c.asked()
+	case c.hasHop:
+		c.handleAsk()
 	case c.isHome():
-		c.unknownAtHome(false)
+		c.callerAtHome(false)
 	default:
-		c.toHome()
+		c.forwardToHome()
 	}
 }
 
-// toHome passes a caller's packet on to the flow's home.
-func (c *call) toHome() {
+// forwardToHome passes a caller's packet on to the flow's home.
+func (c *call) forwardToHome() {
 	hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1}
 	if c.seg.IsOpening() {
 		hop.Kind = geneve.Opening
@@ -58,12 +61,12 @@
 		hop.Flags = geneve.FlagSpilled
 	}
 	c.r.Increment(HomeForwarded)
-	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
+	c.out.sendToPeer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
-func (c *call) opening() {
+func (c *call) handleOpening() {
 	if !c.isHome() && c.hopsLeft() {
-		c.toHome()
+		c.forwardToHome()
 		return
 	}
 	c.r.mu.Lock()
@@ -71,21 +74,22 @@
 	c.openAtHome()
 }
 
-// asked handles a packet of which an earlier balancer did not know the flow.
-func (c *call) asked() {
+// handleAsk handles a packet of a flow that the balancer that passed it on
+// does not know.
+func (c *call) handleAsk() {
 	if c.isHome() {
-		c.unknownAtHome(c.hop.Flags&geneve.FlagExhausted != 0)
+		c.callerAtHome(c.hop.Flags&geneve.FlagExhausted != 0)
 		return
 	}
-	if c.placeAsked() {
+	if c.forwardAsked() {
 		return
 	}
 	c.askNext()
 }
 
-// placeAsked sends the packet on if its flow is known here, which happens where
-// a former home has not been told of the change yet.
-func (c *call) placeAsked() bool {
+// forwardAsked sends the packet to the flow's target if the flow is known
+// here. This happens at a former home that does not know of the change yet.
+func (c *call) forwardAsked() bool {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	e, ok := c.load()
@@ -97,36 +101,37 @@
 		return false
 	}
 	if c.seg.IsReset() {
-		c.callerReset(e)
+		c.resetFromCaller(e)
 		return true
 	}
-	return c.placeKnown(&e)
+	return c.forwardByEntry(&e)
 }
 
-// askNext passes the packet along the flow's order: the balancers that were or
-// will be home next are the likeliest to know it.
+// askNext passes the packet along the flow's rendezvous order, since the
+// balancers next in it are the most likely former or future homes.
 func (c *call) askNext() {
 	n := int(c.hop.Count)
 	hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1}
-	if n <= c.r.set.MaxAsk {
-		if i := c.v.nextAfter(c.addr.homeKey(c.flow), c.home, max(n-1, 0)); i >= 0 {
+	if n <= c.r.settings.MaxAsk {
+		if i := c.v.nextAfter(c.addr.homeKey(c.flowHash), c.home, max(n-1, 0)); i >= 0 {
 			c.r.Increment(AskForwarded)
-			c.out.peer(c.v, i, c.addr.Service, hop, c.seg.Raw)
+			c.out.sendToPeer(c.v, i, c.addr.Service, hop, c.seg.Raw)
 			return
 		}
 	}
 	if c.isHome() {
 		e, known := c.load()
-		c.probeExhausted(e, known && !decidesNothing(e.State))
+		c.probeAfterAsking(e, known && !isMarker(e.State))
 		return
 	}
 	hop.Flags = geneve.FlagExhausted
-	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
+	c.out.sendToPeer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
-// unknownAtHome handles a caller's packet after the opening, at the flow's
-// home. Exhausted means that the balancers in the flow's order were asked.
-func (c *call) unknownAtHome(exhausted bool) {
+// callerAtHome handles a caller's packet other than an opening packet at the
+// flow's home. Exhausted means that the balancers in the flow's order were
+// asked already.
+func (c *call) callerAtHome(exhausted bool) {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	e, ok := c.load()
@@ -134,18 +139,18 @@
 		c.passSpilled(e)
 		return
 	}
-	ok = ok && !decidesNothing(e.State)
+	ok = ok && !isMarker(e.State)
 	if ok && c.seg.IsReset() {
-		c.callerReset(e)
+		c.resetFromCaller(e)
 		return
 	}
-	if ok && c.placeKnown(&e) {
+	if ok && c.forwardByEntry(&e) {
 		return
 	}
-	e, ok = c.load() // a crossed entry was removed
-	ok = ok && !decidesNothing(e.State)
+	e, ok = c.load() // forwardByEntry may have removed a crossed entry
+	ok = ok && !isMarker(e.State)
 	if exhausted {
-		c.probeExhausted(e, ok)
+		c.probeAfterAsking(e, ok)
 		return
 	}
 	if c.spilled || c.hop.Count == 0 {
@@ -154,125 +159,133 @@
 	c.askNext()
 }
 
-// probeExhausted looks for the flow's target among the candidates when no balancer that
-// was asked knows it. An opening here ends if the packet's numbers show that the caller has a
-// connection already: by a balancer that was not asked, often to the opening's own target.
-func (c *call) probeExhausted(e flow.Entry, known bool) {
-	if known && !c.acceptedUnseen(&e) {
-		c.decide(DropMidOpening, &e)
+// probeAfterAsking probes the candidate targets when no balancer that was
+// asked knows the flow. A pending opening of this flow is ended if the
+// packet's numbers show that the caller already has a connection. Another
+// balancer that was not asked has delivered it then, often from the opening's
+// own target.
+func (c *call) probeAfterAsking(e flow.Entry, known bool) {
+	if known && !c.callerConnected(&e) {
+		c.report(DropMidOpening, &e)
 		return
 	}
 	if !known {
 		c.probeUnknown(0)
 		return
 	}
-	c.decide(FlowCrossed, &e)
+	c.report(FlowCrossed, &e)
 	c.r.release(&e, c.addr.Service, c.addr.Unit())
 	if o := c.r.openings[e.Key]; o != nil {
-		c.r.finish(e.Key, o)
+		c.r.removeOpening(e.Key, o)
 	}
 	c.r.remove(e.Key)
 	c.probeUnknown(e.Target)
 }
 
-// decidesNothing reports whether an entry in this state is only a mark.
-func decidesNothing(s flow.State) bool { return s == flow.Handed || s == flow.Hinted }
+// isMarker reports whether an entry in this state is only a marker, by which
+// no packet is forwarded.
+func isMarker(s flow.State) bool { return s == flow.Handed || s == flow.Hinted }
 
-// placeKnown sends the packet by its entry, unless that entry turns out to be
-// another attempt's.
-func (c *call) placeKnown(e *flow.Entry) bool {
+// forwardByEntry handles the packet by its flow's entry. It returns false if
+// the entry does not belong to the caller's connection.
+func (c *call) forwardByEntry(e *flow.Entry) bool {
 	e.LastPacket = tick(c.now)
 	switch e.State {
 	case flow.Handed, flow.Hinted:
 		return false
 	case flow.Queued, flow.Opening, flow.Refused:
-		if c.acceptedUnseen(e) {
+		if c.callerConnected(e) {
 			return false
 		}
-		// The caller was accepted by nobody we know: an old duplicate.
-		c.decide(DropMidOpening, e)
+		// No SYN-ACK was delivered that this packet could follow: it is an old
+		// duplicate.
+		c.report(DropMidOpening, e)
 		return true
 	case flow.Accepted:
-		if !c.confirms(e) {
+		if !c.confirmsAccept(e) {
 			return false
 		}
 		e.State = flow.Open
 		e.Seq = c.seg.Seq
 	case flow.Probing:
-		c.probeAgain(e)
+		c.forwardToCandidate(e)
 		return true
 	}
-	if e.Flags&adopt != 0 && c.showsLife() {
-		c.r.hold(e, c.addr.Service, c.addr.Unit())
+	if e.Flags&uncounted != 0 && c.provesActive() {
+		c.r.acquire(e, c.addr.Service, c.addr.Unit())
 	}
 	if c.resetSilent(e) {
 		return true
 	}
 	c.r.store(*e)
-	c.out.target(c.v, e.Target, c.seg.Raw)
+	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 	return true
 }
 
-// showsLife reports whether the packet may count a flow that came here from
-// another home.
+// provesActive reports whether the packet shows that its flow is active, so
+// that a flow that came from another home may be counted.
 //
-// Failure: a flow has ended at its former home, and the last acknowledgement
-// or the caller's FIN arrives at the new one, which only learned the flow and
-// counts it. It shows as a slot that stays taken for a minute; a few of them at
-// each change of homes refused hundreds of requests. Those packets carry no
-// payload; a flow that lives soon sends some, or is handed over.
-func (c *call) showsLife() bool { return c.seg.PayloadLen > 0 && !c.seg.IsFin() }
+// After a flow has ended at its former home, the last acknowledgement or the
+// caller's FIN may arrive at the new one, which only learned the flow.
+// Counting it would keep a slot in use for a minute; a few such slots at each
+// change of homes caused hundreds of refused requests. Those packets carry no
+// payload. An active flow soon sends some, or is handed over.
+func (c *call) provesActive() bool { return c.seg.PayloadLen > 0 && !c.seg.IsFin() }
 
-// acceptedUnseen reports whether a caller already goes on with a flow whose
-// opening is still under way here.
+// callerConnected reports whether the caller already continues a flow whose
+// opening is still pending here.
 //
-// Failure: views differ, and another balancer delivered the SYN-ACK as the
-// flow's home. It shows as a segment with the numbers of this opening that
-// acknowledges something. That balancer knows the target and is asked.
-func (c *call) acceptedUnseen(e *flow.Entry) bool {
+// While views differ, another balancer may have delivered the SYN-ACK as the
+// flow's home. The caller then sends a segment that continues the numbers of
+// this opening and has an ACK. The other balancer knows the target and is
+// asked.
+func (c *call) callerConnected(e *flow.Entry) bool {
 	return c.seg.HasAck() && c.seg.Seq-e.Seq-1 < maxUnacked
 }
 
-// maxUnacked bounds what a target sends before the caller's first packet
-// arrives; numbers further from the target's own belong to another target.
+// maxUnacked bounds the bytes that one side sends before the other side's
+// first packet arrives. Larger distances in sequence numbers mean another
+// connection.
 const maxUnacked = 1 << 24
 
-// confirms checks the caller's first packet after an acceptance.
+// confirmsAccept checks the caller's first packet after a SYN-ACK was
+// delivered.
 //
-// Failure: during a change of homes two of them may open the same flow at two
-// targets; the caller completes with one. It shows as an acknowledgement of
-// numbers that the recorded target never used; that target would answer with
-// a reset that the caller believes. The record is dropped here instead, so
-// that the packet goes on to the balancer with the accepted target.
-func (c *call) confirms(e *flow.Entry) bool {
+// During a change of homes two of them may open the same flow at two targets,
+// and the caller completes the handshake with one. If that is the other home's
+// target, the packet acknowledges numbers that the target recorded here never
+// used; this target would answer with a reset that the caller accepts. The
+// entry is deleted instead, so that the packet is passed on to the balancer
+// that has the accepted target.
+func (c *call) confirmsAccept(e *flow.Entry) bool {
 	if !c.seg.HasAck() || c.seg.Ack-(e.Seq+1) < maxUnacked {
 		return true
 	}
-	c.decide(FlowCrossed, e)
+	c.report(FlowCrossed, e)
 	c.r.release(e, c.addr.Service, c.addr.Unit())
 	c.r.remove(e.Key)
 	return false
 }
 
-// callerReset ends a flow that its caller resets. While the target has not
-// accepted, the reset may answer the target's challenge to an older flow: it
-// goes to the target, and the opening stays.
-func (c *call) callerReset(e flow.Entry) {
+// resetFromCaller ends a flow that its caller resets. While the target has not
+// accepted the opening, the reset may be the answer to the target's challenge
+// for an older flow; it is then forwarded and the opening stays.
+func (c *call) resetFromCaller(e flow.Entry) {
 	switch e.State {
 	case flow.Queued, flow.Refused, flow.Probing:
-		c.decide(DropUnknownReset, &e)
+		c.report(DropUnknownReset, &e)
 		return
 	case flow.Opening:
-		c.out.target(c.v, e.Target, c.seg.Raw)
+		c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 		return
 	}
-	c.decide(ResetByCaller, &e)
-	c.out.target(c.v, e.Target, c.seg.Raw)
-	c.end(&e)
+	c.report(ResetByCaller, &e)
+	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
+	c.endFlow(&e)
 }
 
-// end releases a flow's load and keeps its entry for late packets.
-func (c *call) end(e *flow.Entry) {
+// endFlow releases a flow's load and keeps its entry for late packets.
+func (c *call) endFlow(e *flow.Entry) {
 	if e.State != flow.Closing {
 		c.r.Increment(FlowEnded)
 	}
@@ -281,7 +294,7 @@
 	e.State = flow.Closing
 	e.LastPacket = tick(c.now)
 	c.r.store(*e)
-	c.forgetSilence()
+	c.forgetRetransmission()
 	if counted {
 		c.admitWaiting(c.addr.Service)
 	}
--- a/internal/router/entries.go
+++ b/internal/router/entries.go
@@ -7,12 +7,13 @@
 	"rosedale.dev/rosedale/internal/flow"
 )
 
-// adopt marks an entry whose home this balancer became and whose load it has
-// not counted yet: the flow's next packet shows that the flow still lives.
-const adopt uint8 = 1 << 7
+// uncounted marks an entry whose home this balancer became and whose load is
+// not counted yet. It is counted when the next packet shows that the flow is
+// still active.
+const uncounted uint8 = 1 << 7
 
-// load returns a copy of the entry of c's flow.
-func (c *call) load() (flow.Entry, bool) { return c.r.load(c.key, c.hash) }
+// load returns a copy of the entry of the call's flow.
+func (c *call) load() (flow.Entry, bool) { return c.r.load(c.key, c.keyHash) }
 
 func (r *Router) load(k flow.Key, hash uint64) (flow.Entry, bool) {
 	s := r.table.Shard(hash)
@@ -24,7 +25,7 @@
 	return flow.Entry{}, false
 }
 
-// store writes e back, or reports that the table is at its bound.
+// store writes e to the table. It returns false if the table is full.
 func (r *Router) store(e flow.Entry) bool {
 	hash := e.Key.Hash()
 	s := r.table.Shard(hash)
@@ -49,9 +50,9 @@
 	s.Unlock()
 }
 
-// hold counts e at its target, once.
-func (r *Router) hold(e *flow.Entry, service uint32, u balance.Unit) {
-	e.Flags &^= adopt
+// acquire counts e at its target unless it is counted already.
+func (r *Router) acquire(e *flow.Entry, service uint32, u balance.Unit) {
+	e.Flags &^= uncounted
 	if e.Flags&flow.Counted != 0 {
 		return
 	}
@@ -61,8 +62,8 @@
 	}
 }
 
-// releaseLater ends what hold counted when the target has had time to repeat its
-// SYN-ACK.
+// releaseLater ends the count of e once its target has had time to retransmit
+// its SYN-ACK.
 func (r *Router) releaseLater(now time.Duration, e *flow.Entry, service uint32, u balance.Unit) {
 	if e.Flags&flow.Counted == 0 {
 		return
@@ -73,9 +74,9 @@
 	}
 }
 
-// release ends what hold counted.
+// release ends the count of e at its target.
 func (r *Router) release(e *flow.Entry, service uint32, u balance.Unit) {
-	e.Flags &^= adopt
+	e.Flags &^= uncounted
 	if e.Flags&flow.Counted == 0 {
 		return
 	}
--- a/internal/router/failures_test.go
+++ b/internal/router/failures_test.go
@@ -12,9 +12,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// A caller sends a note to a target whose two slots are taken by work that the
-// balancer cannot see, and the target sheds it. The caller sees one connection
-// and one answer: the opening packet went on to another target.
+// A target refuses an opening because its two slots are used by work that the
+// balancer cannot see. The opening must be retried at another target without
+// the caller noticing.
 func TestShedOpeningGoesToAnotherTarget(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -31,8 +31,9 @@
 	}
 }
 
-// A hold and two ordinary requests wait while the only target is full. When a
-// slot frees, the hold is answered first although it came last.
+// Two ordinary requests use the only target's slots, and another ordinary one
+// waits before an urgent one. When a slot frees, the urgent one must be
+// admitted first.
 func TestUrgentGoesFirst(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -56,8 +57,9 @@
 	}
 }
 
-// A target accepts an opening after the balancer gave up on it and sent the opening
-// elsewhere: the caller must not see it, and it is reset once the caller has the other one.
+// A target accepts an opening after it was retried at another target. The late
+// SYN-ACK must not reach the caller, and the late target must be reset once
+// the caller has confirmed its connection to the other one.
 func TestLateAcceptanceIsDroppedAndReset(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -88,9 +90,9 @@
 	}
 }
 
-// A port is used again after its flow ended, and the new flow went to another
-// target. A late segment of the former target would end up in the new flow's
-// stream; it is dropped.
+// A caller reuses a port, and the new flow goes to another target. A late
+// segment of the former target must be dropped, or it would end up in the new
+// flow's stream.
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	r, v := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -102,7 +104,7 @@
 		late := packet.Build(testAddress, testCaller, 77, 1001, header.TCPFlagAck, []byte("old frame"))
 		fromTarget(r, time.Second, o.Addr, late, out)
 		if len(out.Actions) != 0 {
-			t.Fatalf("a crossed answer went on: %+v", out.Actions)
+			t.Fatalf("a crossed answer was forwarded: %+v", out.Actions)
 		}
 	}
 	if r.Count(DropCrossedAnswer) != 2 {
@@ -110,8 +112,8 @@
 	}
 }
 
-// An operator edits the catalogue, drains the target and then removes it while
-// a caller watches a stream. Every frame has to go on reaching the same target.
+// An operator drains and removes the target of an established stream. Its
+// packets must still be forwarded to that target, and new flows must not be.
 func TestEstablishedFlowSurvivesEdits(t *testing.T) {
 	r, v := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -131,7 +133,7 @@
 	ack := packet.Build(testCaller, testAddress, 1001, 5001, header.TCPFlagAck, nil)
 	fromCaller(r, 2*time.Second, ack, out)
 	if a := only(t, out, ToTarget); a.Target != target {
-		t.Fatalf("moved to %s", a.Target)
+		t.Fatalf("the flow moved to %s", a.Target)
 	}
 	for i := range 50 {
 		c := netip.AddrPortFrom(testCaller.Addr(), uint16(50000+i))
@@ -142,9 +144,9 @@
 	}
 }
 
-// A packet under one service's number names another service's address, as an
-// answer does when a target's address was given to another service. It must
-// reach nobody.
+// A packet with one service's VNI comes from another service's address, as it
+// happens when a target's address was given to another service. It must be
+// dropped.
 func TestForeignNumberIsDropped(t *testing.T) {
 	r, v := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -162,8 +164,9 @@
 	}
 }
 
-// An opening that another balancer is home of is forgotten while its target may still accept
-// it, and its slot goes to the next one: the target gets more requests than it has slots.
+// An opening whose home is another balancer is deleted while its target may
+// still accept it. Its slot must stay counted for a while, or the target would
+// get more requests than it has slots.
 func TestForgottenOpeningKeepsItsSlotForAWhile(t *testing.T) {
 	r, v := newTestRouter(0, 2, 1)
 	a := v.Addresses[slotAddress]
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// Whatever arrives, a balancer goes on, sends only to targets that it knows,
-// under their service's number, and counts no more than it holds.
+// FuzzHandle checks that the router does not panic on any input, sends only to
+// known targets with their service's VNI, and keeps its usage counts
+// non-negative.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 2, 1, 0, 0, 0x80, 0, 0, 0, 0x12, 1, 0, 0, 0, 0, 0, 0, 0x18, 2, 0, 4})
 	f.Add([]byte{3, 0, 1, 0, 2, 1, 0, 0, 0, 0xc0, 0, 0, 0, 0, 0, 0, 0x87, 0, 1, 0x20, 0x12, 0, 0, 0})
@@ -63,7 +64,7 @@
 		}
 		for _, h := range r.Usage() {
 			if h.Slots < 0 || h.Connections < 0 {
-				t.Fatalf("holds %+v with %d flows", h, r.Flows())
+				t.Fatalf("usage %+v with %d flows", h, r.Flows())
 			}
 		}
 	})
--- a/internal/router/group_test.go
+++ b/internal/router/group_test.go
@@ -11,16 +11,15 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// A balancer was paused and wakes with packets in its socket. Its peers may
-// have replaced it, so it decides nothing before its control has run again: the
-// opening goes to the next balancer.
+// A balancer that was paused may have been replaced by its peers. Until its
+// control loop runs again, it must pass openings to the next balancer.
 func TestPausedBalancerDecidesNothing(t *testing.T) {
 	v := testView(0, 2, 3)
 	r := New(Settings{MaxFlows: 1024, AliveInterval: time.Second})
 	r.SetView(0, v)
 	out := &Output{}
 	home := testCaller
-	for p := uint16(1); v.home(v.Addresses[testAddress].homeKeyOf(home), false) != 0; p++ {
+	for p := uint16(1); v.home(v.Addresses[testAddress].streamHomeKey(home), false) != 0; p++ {
 		home = netip.AddrPortFrom(testCaller.Addr(), p)
 	}
 	r.Alive(time.Second)
@@ -33,15 +32,15 @@
 	}
 }
 
-// homeKeyOf is the key of a stream flow of caller to testAddress.
-func (a Address) homeKeyOf(caller netip.AddrPort) uint64 {
+// streamHomeKey returns the home key of a stream flow of caller to
+// testAddress.
+func (a Address) streamHomeKey(caller netip.AddrPort) uint64 {
 	return a.homeKey(hashFlow(caller, testAddress))
 }
 
-// Every target of this group is gone while another data centre, which is a
-// group of its own, has some. New callers are served there: the opening and
-// whatever follows it go to one balancer of that data centre, whichever
-// balancer here gets them.
+// All targets of this group are gone while another group, in another data
+// centre, has some. A new flow must spill there: its opening, retransmissions
+// and later packets all go to one balancer of that data centre.
 func TestFlowSpillsToAnotherGroup(t *testing.T) {
 	v := testView(0, 1, 1)
 	svc := v.Services[testService]
@@ -64,11 +63,11 @@
 	if r.Count(FlowSpilled) != 1 {
 		t.Fatalf("counted %d", r.Count(FlowSpilled))
 	}
-	// There, the packet goes to the home as if the fabric had sent it, however
-	// many balancers it passed here.
+	// The other group passes the packet to the flow's home as if it came from
+	// the fabric, whatever its hop count.
 	there := testView(0, 2, 1)
 	for c := testCaller; ; c = netip.AddrPortFrom(c.Addr(), c.Port()+1) {
-		if there.home(there.Addresses[testAddress].homeKeyOf(c), false) == 1 {
+		if there.home(there.Addresses[testAddress].streamHomeKey(c), false) == 1 {
 			r.SetView(0, there)
 			out.Reset()
 			hop := geneve.Hop{Kind: geneve.Ask, Count: 2, Flags: geneve.FlagSpilled}
@@ -79,9 +78,9 @@
 	}
 }
 
-// The home of a service's requests leaves. A request that ended there a moment
-// before sends its last packets, which reach the new home. They must not take a
-// slot: nothing would give it back.
+// The home of a service's requests leaves just after a request has ended. The
+// request's last packets reach the new home and must not be counted as a slot
+// in use, which nothing would release.
 func TestLastPacketsTakeNoSlot(t *testing.T) {
 	v := testView(0, 2, 1)
 	a := v.Addresses[slotAddress]
@@ -101,12 +100,12 @@
 	fromTarget(r, time.Second, target, packet.Build(slotAddress, testCaller, 5008, 1011, header.TCPFlagAck, nil), out)
 	only(t, out, ToCaller)
 	if h := r.Usage(); len(h) != 0 {
-		t.Fatalf("held: %+v", h)
+		t.Fatalf("usage: %+v", h)
 	}
 }
 
-// An entry without targets is put in the catalogue. Its callers are refused at
-// once, rather than kept waiting for room that cannot come.
+// Callers of a service without targets must be refused at once, instead of
+// waiting for room that cannot become free.
 func TestServiceWithoutTargetsRefuses(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 0)
 	out := &Output{}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -8,9 +8,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Moved is a flow whose home changed, with what the new home cannot learn
-// from passing packets. Opening is the caller's opening packet if no target
-// has accepted it yet.
+// Moved is a flow whose home changed, with the state that the new home cannot
+// learn from forwarded packets. Opening is the caller's opening packet if no
+// target has accepted it yet.
 type Moved struct {
 	Home    int // index of the new home's node
 	Caller  netip.AddrPort
@@ -18,26 +18,28 @@
 	Target  netip.Addr
 	Seq     uint32
 	State   flow.State
-	Wait    time.Duration // left until the admission deadline
+	Wait    time.Duration // time left until the admission deadline
 	Opening []byte
-	Lost    []netip.Addr // targets that left the opening unanswered
+	Lost    []netip.Addr // targets not to be tried again for this opening
 }
 
 const (
-	// maxMovedStreams bounds the stream flows of one change, at about 60
-	// bytes each. Openings and slots have bounds of their own.
+	// maxMovedStreams is the maximum number of stream flows handed over in one
+	// change, at about 60 bytes each. Openings and slots have their own
+	// limits.
 	maxMovedStreams = 4096
-	// knownAnswers seen at the home mean that several other balancers have
-	// seen answers as well, so that the flow needs no handover.
+	// knownAnswers is the number of answers forwarded by the home from which
+	// several other balancers are assumed to have forwarded some as well, so
+	// that the flow needs no handover.
 	knownAnswers = 3
 )
 
-// recount releases flows that are homed elsewhere now and marks those that
-// came here, to be counted with their next packet. It returns what the new
-// homes need: unfinished openings, flows that hold slots, and streams that few
-// balancers can know and whose target is not their first candidate. The slow
-// lock is free between the table's parts, so that a large table does not hold up
-// openings.
+// recount releases flows whose home is another balancer after the change, and
+// marks those whose home this one became, to be counted with their next
+// packet. It returns what the new homes need: pending openings, flows that use
+// slots, and streams that few other balancers can know and whose target is not
+// their first candidate. The lock is released between the parts of the table,
+// so that a large table does not delay openings.
 func (r *Router) recount(now time.Duration, v *View) []Moved {
 	var out []Moved
 	streams := 0
@@ -63,15 +65,15 @@
 	home := v.home(a.homeKey(fh), false)
 	if home == v.Self {
 		if isLive(e.State) && e.Flags&flow.Counted == 0 {
-			e.Flags |= adopt
+			e.Flags |= uncounted
 		}
 		return Moved{}, false
 	}
-	m, ok := r.moved(now, v, e, a, fh, streams)
+	m, ok := r.describeMoved(now, v, e, a, fh, streams)
 	m.Home = home
 	r.release(e, a.Service, a.Unit())
 	if o := r.openings[e.Key]; o != nil {
-		r.finish(e.Key, o)
+		r.removeOpening(e.Key, o)
 		e.State = flow.Handed
 		e.Target = 0
 		e.LastPacket = tick(now)
@@ -83,7 +85,7 @@
 	return s == flow.Open || s == flow.Learned || s == flow.Accepted
 }
 
-func (r *Router) moved(now time.Duration, v *View, e *flow.Entry, a located, fh uint64, streams *int) (Moved, bool) {
+func (r *Router) describeMoved(now time.Duration, v *View, e *flow.Entry, a serviceAddress, fh uint64, streams *int) (Moved, bool) {
 	m := Moved{Caller: e.Key.CallerAddr(), Address: a.addr, Seq: e.Seq, State: e.State}
 	if e.Target != 0 {
 		m.Target = v.Targets[e.Target].Addr
@@ -91,7 +93,7 @@
 	if o := r.openings[e.Key]; o != nil {
 		m.Opening = o.packet
 		m.Wait = max(o.deadline-now, 0)
-		for _, id := range o.lost {
+		for _, id := range o.excluded {
 			m.Lost = append(m.Lost, v.Targets[id].Addr)
 		}
 		return m, true
@@ -141,7 +143,7 @@
 		return
 	}
 	if known && e.State == flow.Opening && m.State == flow.Accepted && e.Target != id {
-		r.yield(now, v, &e, out)
+		r.yieldOpening(now, v, &e, out)
 		known = false
 	}
 	if known && (e.Target != id || e.State == flow.Closing || e.State == flow.Refused) {
@@ -152,29 +154,29 @@
 	}
 	e.LastPacket = tick(now)
 	e.Flags |= flow.HandedOver
-	r.hold(&e, a.Service, a.Unit())
+	r.acquire(&e, a.Service, a.Unit())
 	if !r.store(e) {
 		r.release(&e, a.Service, a.Unit())
 	}
 }
 
-// yield ends an opening under way here whose caller was accepted at another
-// target by the former home.
+// yieldOpening ends an opening that is pending here if the former home has
+// delivered another target's SYN-ACK to its caller.
 //
-// Failure: the caller's repeated opening packet reached this balancer before
-// the handover. It shows as two targets for one flow, and as a reset of the one
-// that the caller uses. This balancer has delivered no acceptance yet.
-func (r *Router) yield(now time.Duration, v *View, e *flow.Entry, out *Output) {
+// The caller's retransmitted opening packet may reach this balancer before the
+// handover, so that the flow has two targets. Without this, the one that the
+// caller uses would be reset. This balancer has not delivered a SYN-ACK yet.
+func (r *Router) yieldOpening(now time.Duration, v *View, e *flow.Entry, out *Output) {
 	if o := r.openings[e.Key]; o != nil {
 		r.abandonTarget(now, v, e, o, out)
-		r.finish(e.Key, o)
+		r.removeOpening(e.Key, o)
 	}
 	r.remove(e.Key)
 }
 
-// takeOpening continues an opening. If the caller's repeated packet was faster
-// and another target was chosen here, the former target is left alone, and reset
-// when its SYN-ACK arrives.
+// takeOpening continues an opening that was handed over. If a retransmission
+// by the caller arrived earlier and another target was chosen for it, the
+// former home's target is excluded, and reset when its SYN-ACK arrives.
 func (r *Router) takeOpening(now time.Duration, v *View, m *Moved, a Address, id uint32, e flow.Entry, known bool, out *Output) {
 	seg, err := packet.Parse(m.Opening)
 	if err != nil || !seg.IsOpening() {
@@ -193,7 +195,7 @@
 	o := &opening{
 		packet:   append([]byte(nil), m.Opening...),
 		addr:     a,
-		flow:     hashFlow(m.Caller, m.Address),
+		flowHash: hashFlow(m.Caller, m.Address),
 		deadline: now + m.Wait,
 	}
 	for _, l := range m.Lost {
@@ -206,15 +208,15 @@
 		return
 	}
 	r.openings[e.Key] = o
-	p.opening++
+	p.openingCount++
 	if m.State == flow.Queued {
-		r.place(now, v, &e, o, out)
+		r.dispatchOrQueue(now, v, &e, o, out)
 		return
 	}
 	e.Target = id
 	o.tried = append(o.tried, id)
 	o.tries = 1
 	o.sentAt = now
-	r.hold(&e, a.Service, a.Unit())
+	r.acquire(&e, a.Service, a.Unit())
 	r.store(e)
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -26,7 +26,8 @@
 	fabricSource = netip.MustParseAddr("127.0.9.1")
 )
 
-// testView is a view of balancer self among nodes, with targets of 2 slots.
+// testView returns a view of balancer self among nodes, with targets of two
+// slots each.
 func testView(self, nodes, targets int) *View {
 	v := &View{
 		Self: self,
@@ -85,7 +86,7 @@
 	return packet.Build(to, from, 5000, 1001, header.TCPFlagSyn|header.TCPFlagAck, nil)
 }
 
-// open opens a flow through r as its home, whatever the view says, and returns
+// open opens a flow through r as its home, regardless of the view, and returns
 // its target.
 func open(r *Router, v *View, now time.Duration, caller netip.AddrPort, out *Output) netip.Addr {
 	out.Reset()
--- a/internal/router/inspect.go
+++ b/internal/router/inspect.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/flow"
 )
 
-// FlowInfo is a flow as operators see it.
+// FlowInfo is a flow in operator output.
 type FlowInfo struct {
 	Caller   netip.AddrPort `json:"caller"`
 	Address  netip.AddrPort `json:"address"`
@@ -25,7 +25,7 @@
 	HandOver bool           `json:"handedOver"`
 }
 
-// FlowList returns up to limit flows that match keep.
+// FlowList returns up to limit flows for which keep returns true.
 func (r *Router) FlowList(now time.Duration, limit int, keep func(FlowInfo) bool) []FlowInfo {
 	v := r.view.Load()
 	var out []FlowInfo
@@ -58,13 +58,13 @@
 	return out
 }
 
-// Explanation says where a new flow would go, and why.
+// Explanation is the target that a new flow would get, and why.
 type Explanation struct {
 	Service   string          `json:"service"`
 	Address   netip.AddrPort  `json:"address"`
 	Class     string          `json:"class"`
 	Home      string          `json:"home"`
-	IsHome    bool            `json:"isHome"` // the answering balancer is home: its counts decide
+	IsHome    bool            `json:"isHome"` // whether this balancer is the flow's home, whose counts decide
 	Choice    string          `json:"choice"`
 	Why       string          `json:"why"`
 	Waiting   int             `json:"waiting"`
@@ -72,19 +72,20 @@
 	Withdrawn bool            `json:"withdrawn"`
 }
 
-// TargetExplain is one target's part in the choice.
+// TargetExplain is the state of one target in an Explanation.
 type TargetExplain struct {
 	Target     string  `json:"target"`
 	DataCenter string  `json:"dataCenter"`
 	Eligible   bool    `json:"eligible"`
-	Candidate  int     `json:"candidate"` // place in the flow's own order, from 1
+	Candidate  int     `json:"candidate"` // position in the flow's rendezvous order, from 1
 	Load       float64 `json:"load"`
 	Limit      int     `json:"limit"`
 	Note       string  `json:"note"`
 }
 
-// Explain tells which target a new flow of caller to address would get if
-// this balancer decided now. It changes nothing.
+// Explain returns the target that a new flow of caller to address would get if
+// this balancer decided now. It changes nothing. It returns false if the
+// address is unknown.
 func (r *Router) Explain(now time.Duration, caller, address netip.AddrPort) (Explanation, bool) {
 	v := r.view.Load()
 	a, ok := v.Addresses[address]
@@ -92,7 +93,7 @@
 		return Explanation{}, false
 	}
 	fh := hashFlow(caller, address)
-	home := v.home(a.homeKey(fh), r.doubt(now))
+	home := v.home(a.homeKey(fh), r.controlStalled(now))
 	x := Explanation{
 		Service:   v.Services[a.Service].Name,
 		Address:   address,
@@ -128,8 +129,8 @@
 	return x, true
 }
 
-// Fingerprint writes everything that decides on later packets, in a fixed
-// order: the model checker compares states by it.
+// Fingerprint writes the state that later decisions depend on, in a fixed
+// order; the model checker uses it to compare states.
 func (r *Router) Fingerprint(w io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +143,7 @@
 	for _, e := range entries {
 		_, _ = fmt.Fprintf(w, "e%v %d %d %d %d %d;", e.Key.CallerAddr(), e.Target, e.Seq, e.State, e.Flags, e.Probe)
 		if o := r.openings[e.Key]; o != nil {
-			_, _ = fmt.Fprintf(w, "o%v %v %v %v;", o.tried, o.lost, o.sentAt, o.resent)
+			_, _ = fmt.Fprintf(w, "o%v %v %v %v;", o.tried, o.excluded, o.sentAt, o.resent)
 		}
 		if p := r.probes[e.Key]; p != nil {
 			_, _ = fmt.Fprintf(w, "p%v;", p.candidates)
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -8,36 +8,35 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// opening is a flow that no target has accepted yet. Only its opening packet
-// exists, so that it may be sent to another target or be refused: no byte of
-// the caller's can have run anywhere.
+// opening is a flow that no target has accepted yet. The caller has sent only
+// its opening packet, without payload, so it may be sent to another target or
+// be refused without any data being processed twice.
 type opening struct {
-	packet   []byte
-	addr     Address
-	flow     uint64
-	tried    []uint32 // targets not to try again
-	lost     []uint32 // of these, the ones not to try even when no other is left
-	tries    int
-	after    time.Duration // not to be tried before
-	sentAt   time.Duration
-	deadline time.Duration
-	resent   bool
+	packet    []byte
+	addr      Address
+	flowHash  uint64
+	tried     []uint32 // targets already tried
+	excluded  []uint32 // of these, targets never to be tried again
+	tries     int
+	notBefore time.Duration // earliest next attempt
+	sentAt    time.Duration
+	deadline  time.Duration
+	resent    bool
 }
 
-// exclude keeps the opening away from a target that was tried for its flow and
-// will be reset when its SYN-ACK arrives.
-//
-// Failure: the reset and a second opening packet pass each other on the way to
-// the target. It shows as a reset of the connection that the second one got.
+// exclude keeps the opening away from a target that was tried and will be
+// reset when its SYN-ACK arrives. Otherwise that reset could arrive after a
+// second opening packet and end the connection that it opened.
 func (o *opening) exclude(id uint32) {
 	o.tried = append(o.tried, id)
-	o.lost = append(o.lost, id)
+	o.excluded = append(o.excluded, id)
 }
 
-// defaultDeadline is the admission deadline of addresses that set none.
+// defaultDeadline is the admission deadline of addresses without their own.
 const defaultDeadline = time.Second
 
-// openAtHome handles an opening packet where it is decided. mu is held.
+// openAtHome handles an opening packet at the balancer that decides on it. mu
+// is held.
 func (c *call) openAtHome() {
 	e, ok := c.load()
 	if !ok {
@@ -47,14 +46,14 @@
 	switch e.State {
 	case flow.Queued, flow.Opening:
 		if e.Seq == c.seg.Seq {
-			c.openRepeated(&e)
+			c.openingRetransmitted(&e)
 			return
 		}
-		// The caller gave up and began again from the same port.
+		// The caller gave up and opens a new connection from the same port.
 		c.abandon(&e)
 	case flow.Refused:
 		if e.Seq == c.seg.Seq {
-			c.out.caller(packet.ResetTo(&c.seg))
+			c.out.sendToCaller(packet.ResetTo(&c.seg))
 			return
 		}
 	case flow.Spilled:
@@ -64,23 +63,24 @@
 		}
 	case flow.Handed:
 		if !c.isHome() {
-			// It came back from a balancer whose view is older; the new home
-			// has the opening already.
+			// The packet came back from a balancer with an older view; the new
+			// home has the opening already.
 			c.r.Increment(DropOpeningRepeated)
 			return
 		}
 	case flow.Closing, flow.Hinted:
 	case flow.Learned:
-		// Learned under a former home, which saw its end. Numbers that do not
-		// continue it are a new flow's.
-		if sameIncarnation(&e, c.seg.Seq) {
-			c.out.target(c.v, e.Target, c.seg.Raw)
+		// The flow was learned under a former home, which saw its end. A
+		// sequence number that does not continue it belongs to a new flow.
+		if matchesEntry(&e, c.seg.Seq) {
+			c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 			return
 		}
 	default:
-		// The target still has this flow, as far as anyone knows: it answers
-		// with a challenge (RFC 5961) and thus decides whether the flow ended.
-		c.out.target(c.v, e.Target, c.seg.Raw)
+		// The target has this flow, as far as is known. It answers with a
+		// challenge ACK (RFC 5961), whose answer shows whether the flow has
+		// ended.
+		c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 		return
 	}
 	c.r.release(&e, c.addr.Service, c.addr.Unit())
@@ -88,12 +88,12 @@
 	c.openNew()
 }
 
-func (c *call) openRepeated(e *flow.Entry) {
+func (c *call) openingRetransmitted(e *flow.Entry) {
 	if e.State == flow.Queued {
 		c.r.Increment(DropOpeningRepeated)
 		return
 	}
-	c.out.target(c.v, e.Target, c.seg.Raw)
+	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 }
 
 func (c *call) openNew() {
@@ -103,13 +103,14 @@
 		c.refuseNow(RefuseWithdrawn)
 		return
 	case p.Empty() && len(c.v.Services[c.addr.Service].SpillTo) == 0:
-		c.refuseNow(RefuseNoTarget) // waiting would not help
+		c.refuseNow(RefuseNoTarget) // no target can become free
 		return
 	case c.seg.PayloadLen > 0:
-		// Payload on an opening packet could run twice when it is retried.
+		// Payload on an opening packet could be processed twice when it is
+		// retried.
 		c.refuseNow(RefusePayload)
 		return
-	case p.opening >= c.r.set.MaxOpenings:
+	case p.openingCount >= c.r.settings.MaxOpenings:
 		c.refuseNow(RefuseOpeningLimit)
 		return
 	}
@@ -128,27 +129,28 @@
 	o := &opening{
 		packet:   append([]byte(nil), c.seg.Raw...),
 		addr:     *c.addr,
-		flow:     c.flow,
+		flowHash: c.flowHash,
 		deadline: c.now + wait,
 	}
 	c.r.openings[c.key] = o
-	p.opening++
+	p.openingCount++
 	p.Budget.Opened()
-	c.r.place(c.now, c.v, &e, o, c.out)
+	c.r.dispatchOrQueue(c.now, c.v, &e, o, c.out)
 }
 
-// refuseNow answers the opening packet in hand with a reset.
+// refuseNow answers the current opening packet with a reset.
 func (c *call) refuseNow(why Reason) {
-	c.decide(why, nil)
-	c.out.caller(packet.ResetTo(&c.seg))
+	c.report(why, nil)
+	c.out.sendToCaller(packet.ResetTo(&c.seg))
 }
 
-// place sends an opening to a target with room, or queues it, or refuses it.
-func (r *Router) place(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
+// dispatchOrQueue sends an opening to a target with room, or queues or refuses
+// it.
+func (r *Router) dispatchOrQueue(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	p := r.pools[o.addr.Service]
-	id, ok := p.Choose(now, o.addr.Unit(), o.flow, o.tried)
-	// Those who wait go first: a newcomer must not overtake them.
-	if w, waiting := p.Queue.Next(now, o.addr.Unit()); ok && waiting && w.Key != e.Key && !o.overtakes() {
+	id, ok := p.Choose(now, o.addr.Unit(), o.flowHash, o.tried)
+	// A new opening must not be admitted before those in the queue.
+	if w, waiting := p.Queue.Next(now, o.addr.Unit()); ok && waiting && w.Key != e.Key && !o.mayOvertake() {
 		ok = false
 	}
 	if ok {
@@ -158,20 +160,21 @@
 	r.enqueue(now, e, o, out)
 }
 
-// overtakes reports whether an opening may pass those that wait already.
-func (o *opening) overtakes() bool { return len(o.tried) > 0 }
+// mayOvertake reports whether an opening may be admitted before those in the
+// queue. This holds for retries.
+func (o *opening) mayOvertake() bool { return len(o.tried) > 0 }
 
 func (r *Router) dispatch(now time.Duration, v *View, e *flow.Entry, o *opening, id uint32, out *Output) {
 	e.Target = id
 	e.State = flow.Opening
 	e.LastPacket = tick(now)
-	r.hold(e, o.addr.Service, o.addr.Unit())
+	r.acquire(e, o.addr.Service, o.addr.Unit())
 	r.store(*e)
 	o.tried = append(o.tried, id)
 	o.tries++
 	o.sentAt = now
 	o.resent = false
-	out.target(v, id, o.packet)
+	out.sendToTarget(v, id, o.packet)
 }
 
 func (r *Router) enqueue(now time.Duration, e *flow.Entry, o *opening, out *Output) {
@@ -185,68 +188,70 @@
 		Urgent:    o.addr.Class == "urgent",
 		Arrived:   now,
 		Deadline:  o.deadline,
-		NotBefore: o.after,
+		NotBefore: o.notBefore,
 	}
 	displaced, did, ok := p.Queue.Push(w)
 	if !ok {
 		r.refuse(now, e.Key, RefuseQueueFull, out)
 		return
 	}
-	r.decide(now, OpeningQueued, e, out)
+	r.report(now, OpeningQueued, e, out)
 	if did {
 		r.refuse(now, displaced.Key, RefuseDisplaced, out)
 	}
-	r.refuseHopeless(now, p, out)
+	r.refuseLate(now, p, out)
 }
 
-// refuseHopeless refuses those who wait in vain, at once.
-func (r *Router) refuseHopeless(now time.Duration, p *pool, out *Output) {
+// refuseLate refuses waiters that will not be admitted before their deadlines.
+func (r *Router) refuseLate(now time.Duration, p *pool, out *Output) {
 	for _, w := range p.WillMissDeadline(now) {
 		r.refuse(now, w.Key, RefuseTooLate, out)
 	}
 }
 
-// refuse tells the caller that its opening was not run. The entry stays for a
-// while, so that a late acceptance is dropped and a repeated opening packet
-// gets the same answer. The target that may still accept is reset.
+// refuse answers a pending opening with a reset. The entry is kept for a
+// while, so that a retransmitted opening packet gets the same answer and a
+// late SYN-ACK can be recognised.
 func (r *Router) refuse(now time.Duration, k flow.Key, why Reason, out *Output) {
 	o := r.openings[k]
 	e, ok := r.load(k, k.Hash())
 	if o == nil || !ok {
 		return
 	}
-	r.decide(now, why, &e, out)
-	r.finish(k, o)
+	r.report(now, why, &e, out)
+	r.removeOpening(k, o)
 	r.release(&e, o.addr.Service, o.addr.Unit())
 	e.State = flow.Refused
 	e.Target = 0
 	e.LastPacket = tick(now)
 	r.store(e)
 	if seg, err := packet.Parse(o.packet); err == nil {
-		out.caller(packet.ResetTo(&seg))
+		out.sendToCaller(packet.ResetTo(&seg))
 	}
 }
 
-// finish forgets an opening that was accepted, refused or abandoned.
-func (r *Router) finish(k flow.Key, o *opening) {
+// removeOpening deletes an opening that was accepted, refused or abandoned.
+func (r *Router) removeOpening(k flow.Key, o *opening) {
 	delete(r.openings, k)
 	if p := r.pools[o.addr.Service]; p != nil {
-		p.opening--
+		p.openingCount--
 		p.Queue.Remove(k, false)
 	}
 }
 
-// abandon ends an opening whose caller began anew. mu is held.
+// abandon ends an opening whose caller opened a new connection or is connected
+// elsewhere. mu is held.
 func (c *call) abandon(e *flow.Entry) {
 	o := c.r.openings[e.Key]
 	if o == nil {
 		return
 	}
 	c.r.abandonTarget(c.now, c.v, e, o, c.out)
-	c.r.finish(e.Key, o)
+	c.r.removeOpening(e.Key, o)
 }
 
-// admitWaiting gives freed room to those who wait. mu is held.
+// admitWaiting admits waiters while targets of the service have room. mu is
+// held.
 func (c *call) admitWaiting(service uint32) {
 	c.r.admitWaiting(c.now, c.v, service, c.out)
 }
@@ -273,7 +278,7 @@
 		p.Queue.Remove(w.Key, false)
 		return true
 	}
-	id, ok := p.Choose(now, u, o.flow, o.lost)
+	id, ok := p.Choose(now, u, o.flowHash, o.excluded)
 	if !ok {
 		return false
 	}
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// maxProbes bounds the packets kept while candidates are tried.
+	// maxProbes is the maximum number of flows that are probed at a time.
 	maxProbes = 4096
-	// probeExpiry ends a probe that no candidate answers.
+	// probeExpiry is the age at which an unanswered probe is given up.
 	probeExpiry = 30 * time.Second
 )
 
-// probe is a packet of a flow whose target nobody remembers.
+// probe is the search for the target of an unknown flow, with a packet of that
+// flow.
 type probe struct {
 	packet     []byte
-	ack        uint32 // of that packet: the number that the flow's target goes on with
+	ack        uint32 // acknowledgement number of packet, which the target continues with
 	candidates []uint32
-	began      time.Duration
+	startedAt  time.Duration
 }
 
-// probeUnknown tries the candidates of a flow that every balancer asked has
-// forgotten, or that never existed.
+// probeUnknown starts to probe the candidate targets of a flow that no
+// balancer asked knows, or that does not exist.
 //
-// Failure: the home dies before any other balancer saw an answer. It shows as
-// a caller's packet that nobody can place. A target without the connection
-// rejects the segment with a reset and has accepted nothing, so the next
-// candidate may be tried; the candidate that has the flow accepts it. Silence
-// is no rejection: the packet is then never sent to another target. The likeliest target
-// is tried first, if one is.
+// This is needed when the home dies before any other balancer has seen an
+// answer. A target without the connection rejects the segment with a reset and
+// has processed nothing, so that the next candidate may be tried; the target
+// that has the flow accepts it. A missing answer is no rejection: the packet
+// is then not sent to any other target. The likeliest target, if not 0, is
+// tried first.
 func (c *call) probeUnknown(likeliest uint32) {
 	if c.seg.IsReset() {
-		c.decide(DropUnknownReset, nil)
+		c.report(DropUnknownReset, nil)
 		return
 	}
 	p := c.r.pools[c.addr.Service]
-	if p == nil || len(c.r.probes) >= maxProbes || !p.takeProbe(c.now, c.r.set.ProbeRate) {
-		c.decide(DropProbeLimit, nil)
+	if p == nil || len(c.r.probes) >= maxProbes || !p.allowProbe(c.now, c.r.settings.ProbeRate) {
+		c.report(DropProbeLimit, nil)
 		return
 	}
 	pr := &probe{
 		packet:     append([]byte(nil), c.seg.Raw...),
 		ack:        c.seg.Ack,
-		candidates: p.Order(c.flow),
-		began:      c.now,
+		candidates: p.Order(c.flowHash),
+		startedAt:  c.now,
 	}
 	if likeliest != 0 {
 		rest := slices.DeleteFunc(pr.candidates, func(id uint32) bool { return id == likeliest })
@@ -63,42 +64,43 @@
 		return
 	}
 	c.r.probes[c.key] = pr
-	c.decide(RetryProbe, &e)
-	c.out.target(c.v, e.Target, c.seg.Raw)
+	c.report(RetryProbe, &e)
+	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 }
 
-func (p *pool) takeProbe(now time.Duration, rate float64) bool {
-	p.probes = min(p.probes+rate*(now-p.probeAt).Seconds(), rate)
-	p.probeAt = now
-	if p.probes < 1 {
+func (p *pool) allowProbe(now time.Duration, rate float64) bool {
+	p.probeTokens = min(p.probeTokens+rate*(now-p.probeRefilledAt).Seconds(), rate)
+	p.probeRefilledAt = now
+	if p.probeTokens < 1 {
 		return false
 	}
-	p.probes--
+	p.probeTokens--
 	return true
 }
 
-// probeAgain sends a later packet of a probed flow to the current candidate.
-func (c *call) probeAgain(e *flow.Entry) {
+// forwardToCandidate sends a further packet of a probed flow to the current
+// candidate.
+func (c *call) forwardToCandidate(e *flow.Entry) {
 	if pr := c.r.probes[e.Key]; pr != nil && c.seg.PayloadLen > 0 {
 		pr.packet = append(pr.packet[:0], c.seg.Raw...)
 	}
 	c.r.store(*e)
-	c.out.target(c.v, e.Target, c.seg.Raw)
+	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 }
 
-// answersProbe reports whether an answer continues the numbers that the probed packet
-// acknowledges. A candidate with a half-open connection of the caller answers too, with
-// numbers of its own.
+// answersProbe reports whether an answer continues the numbers that the probed
+// packet acknowledges. A candidate with a half-open connection of the caller
+// also answers, but with its own numbers.
 func (c *call) answersProbe(e *flow.Entry) bool {
 	p := c.r.probes[e.Key]
-	return p == nil || near(c.seg.Seq, p.ack)
+	return p == nil || seqNear(c.seg.Seq, p.ack)
 }
 
-// foundAtOther ends a probe when another target than the candidate answers with the numbers
-// that the caller acknowledged. The candidate's rejection may have gone to a balancer that
-// does not probe.
-func (c *call) foundAtOther(e *flow.Entry, id uint32) bool {
-	plain := !c.seg.IsAccept() && !c.seg.IsReset() && !c.isBare()
+// answeredByOther ends a probe when a target other than the candidate answers
+// with the numbers that the caller acknowledged. It reports whether it did.
+// The candidate's rejection may have gone to a balancer that does not probe.
+func (c *call) answeredByOther(e *flow.Entry, id uint32) bool {
+	plain := !c.seg.IsAccept() && !c.seg.IsReset() && !c.isBareAck()
 	if e.State != flow.Probing || e.Target == id || !plain || !c.answersProbe(e) {
 		return false
 	}
@@ -107,56 +109,57 @@
 	return true
 }
 
-// endProbe records the target of a flow that was probed for, and sends it the packet that the
-// probe kept: its caller's next copy may be seconds away.
+// endProbe records the target of a probed flow and sends it the packet kept by
+// the probe, since the caller's next retransmission may be seconds away.
 func (c *call) endProbe(e *flow.Entry, id uint32) {
 	p := c.r.probes[e.Key]
 	delete(c.r.probes, e.Key)
 	e.Target, e.State = id, flow.Learned
 	c.r.store(*e)
 	if p != nil {
-		c.out.target(c.v, id, p.packet)
+		c.out.sendToTarget(c.v, id, p.packet)
 	}
 }
 
-// acceptOfProbed reports whether a SYN-ACK shows whose flow is probed for: its target repeats
-// it until the caller's acknowledgement comes, which the probe kept from it.
-func (c *call) acceptOfProbed(e *flow.Entry) bool {
+// acceptEndsProbe reports whether a SYN-ACK shows which target has the probed
+// flow. The target retransmits it because the probe kept the caller's
+// acknowledgement from it.
+func (c *call) acceptEndsProbe(e *flow.Entry) bool {
 	p := c.r.probes[e.Key]
 	return e.State == flow.Probing && p != nil && c.seg.Seq+1 == p.ack
 }
 
-// nobodyHas ends a probe that every candidate rejected with a reset to the
-// caller, so that it reconnects rather than hangs.
+// rejectUnknown ends a probe that every candidate rejected by passing the
+// reset to the caller, so that it reconnects instead of hanging.
 //
-// Failure: a data centre is cut off while the fabric still sprays over both
-// parts, and this part resets a flow that lives in the other one. It shows as a
-// reset although the flow's own balancers answer. While a whole data centre is
-// lost the packet is dropped instead: the caller's next one may reach them.
-func (c *call) nobodyHas() {
+// When a data centre is cut off, the fabric may still distribute packets over
+// both parts, and this part must not reset a flow whose target is in the other
+// one. While a whole data centre is unreachable the packet is dropped instead:
+// the caller's next one may reach the flow's own balancers.
+func (c *call) rejectUnknown() {
 	if c.v.Partial {
-		c.decide(DropUnknownFlow, nil)
+		c.report(DropUnknownFlow, nil)
 		return
 	}
-	c.decide(ResetUnknown, nil)
-	c.out.caller(c.seg.Raw)
+	c.report(ResetUnknown, nil)
+	c.out.sendToCaller(c.seg.Raw)
 }
 
-// probeRejected moves on to the next candidate. A reset with an ACK may come
-// from a connection that did accept the segment and was then aborted: on an
-// address that is not idempotent it ends the flow instead.
+// probeRejected sends the probed packet to the next candidate. A reset with
+// ACK may come from a connection that accepted the segment and was then
+// aborted; on an address that is not idempotent it ends the flow instead.
 func (c *call) probeRejected(e *flow.Entry) {
 	pr := c.r.probes[e.Key]
 	aborted := c.seg.Flags&header.TCPFlagAck != 0 && !c.addr.Idempotent
 	if pr == nil || aborted || int(e.Probe)+1 >= len(pr.candidates) {
 		delete(c.r.probes, e.Key)
 		c.r.remove(e.Key)
-		c.nobodyHas()
+		c.rejectUnknown()
 		return
 	}
 	e.Probe++
 	e.Target = pr.candidates[e.Probe]
-	c.decide(RetryProbe, e)
+	c.report(RetryProbe, e)
 	c.r.store(*e)
-	c.out.target(c.v, e.Target, pr.packet)
+	c.out.sendToTarget(c.v, e.Target, pr.packet)
 }
--- a/internal/router/probe_test.go
+++ b/internal/router/probe_test.go
@@ -13,9 +13,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// The balancer that opened a flow dies before any other saw an answer. The
-// caller's request reaches a balancer that knows nothing; it tries candidates,
-// whose resets the caller never sees, until the owner takes it.
+// The balancer that opened a flow dies before any other has seen an answer.
+// The balancer that gets the caller's request must probe the candidates, hide
+// their resets from the caller, and stop at the target that accepts it.
 func TestUnknownFlowIsFoundByProbing(t *testing.T) {
 	r, v := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -31,21 +31,21 @@
 		rst := packet.Build(testAddress, testCaller, 5001, 0, header.TCPFlagRst, nil)
 		fromTarget(r, time.Second, a.Target, rst, out)
 	}
-	owner := only(t, out, ToTarget).Target
-	if tried[owner] {
+	flowTarget := only(t, out, ToTarget).Target
+	if tried[flowTarget] {
 		t.Fatal("a candidate was tried twice")
 	}
 	answer := packet.Build(testAddress, testCaller, 5001, 1004, header.TCPFlagAck, []byte("frame"))
-	fromTarget(r, time.Second, owner, answer, out)
+	fromTarget(r, time.Second, flowTarget, answer, out)
 	only(t, out, ToCaller)
 	fromCaller(r, time.Second, req, out)
-	if a := only(t, out, ToTarget); a.Target != owner {
-		t.Fatalf("sent to %s, the owner is %s", a.Target, owner)
+	if a := only(t, out, ToTarget); a.Target != flowTarget {
+		t.Fatalf("sent to %s, want %s", a.Target, flowTarget)
 	}
 }
 
-// A probed candidate stays silent: it may have run the note. The caller's
-// repeated packet goes to the same candidate, never to another one.
+// A probed candidate that does not answer may have processed the request.
+// Retransmissions by the caller must go to the same candidate and to no other.
 func TestSilenceIsNoRejection(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -55,13 +55,13 @@
 	for i := range 5 {
 		fromCaller(r, time.Duration(i+2)*time.Second, req, out)
 		if a := only(t, out, ToTarget); a.Target != first {
-			t.Fatal("the payload went to a second target")
+			t.Fatal("the payload was sent to a second target")
 		}
 	}
 }
 
-// A candidate with a half-open connection of the caller answers a copy of its opening while
-// it is probed, and is taken for the flow's target.
+// A candidate with a half-open connection of the same caller answers the probe
+// with a bare acknowledgement. It must not be taken for the flow's target.
 func TestBareAcknowledgementEndsNoProbe(t *testing.T) {
 	r, v := newTestRouter(0, 1, 2)
 	out := &Output{}
@@ -80,8 +80,9 @@
 	}
 }
 
-// While views differ one balancer probes for a flow, and a candidate's rejection comes to
-// another one, which passes it to the caller: the flow ends although its target holds it.
+// While views differ, a balancer probes for a flow and a candidate's reset
+// reaches another one. That one must not pass it to the caller, unless the
+// target is known to have had the flow.
 func TestRejectionOfAnothersProbeIsDropped(t *testing.T) {
 	home, v := newTestRouter(0, 2, 2)
 	other, _ := newTestRouter(1, 2, 2)
@@ -89,19 +90,19 @@
 	c := callerOf(v, 0)
 	rejection := packet.Build(testAddress, c, 5001, 0, header.TCPFlagRst, nil)
 	from := v.Targets[1].Addr
-	unknown := func() {
+	expectDropped := func() {
 		t.Helper()
 		asked := only(t, out, ToPeer)
 		passed(other, time.Second, v.Nodes[0].Data.Addr(), asked.Hop, rejection, out)
 		if len(out.Actions) != 0 {
-			t.Fatalf("passed on: %+v", out.Actions)
+			t.Fatalf("forwarded: %+v", out.Actions)
 		}
 	}
 	fromTarget(home, time.Second, from, rejection, out)
-	unknown()
+	expectDropped()
 	fromTarget(other, time.Second, from, rejection, out)
 	passed(home, time.Second, v.Nodes[1].Data.Addr(), only(t, out, ToPeer).Hop, rejection, out)
-	unknown()
+	expectDropped()
 	if other.Count(DropUnknownReset) != 2 {
 		t.Error("not counted")
 	}
@@ -112,8 +113,8 @@
 	only(t, out, ToCaller)
 }
 
-// probing is a balancer that takes itself for a flow's home, and probes for its target. It
-// returns the candidate and the packet.
+// probing returns a balancer that takes itself for a flow's home and probes
+// for its target, with the current candidate and the probed packet.
 func probing(t *testing.T, v *View, c netip.AddrPort) (*Router, netip.Addr, []byte) {
 	t.Helper()
 	r, _ := newTestRouter(1, 2, 2)
@@ -127,8 +128,9 @@
 	return r, only(t, out, ToTarget).Target, data
 }
 
-// A candidate's rejection comes to a balancer that does not probe, and the probe stays with
-// that candidate until the caller gives up.
+// A candidate's reset reaches a balancer that does not probe. It must be
+// passed to the one that does, or the probe would stay with that candidate
+// until the caller gives up.
 func TestRejectionFindsTheBalancerThatProbes(t *testing.T) {
 	home, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -142,8 +144,9 @@
 	}
 }
 
-// A probe stays with a candidate whose rejection went to another balancer, and drops the
-// answers of the flow's own target.
+// The flow's own target answers while another candidate is probed whose reset
+// went to another balancer. The answer must end the probe and reach the
+// caller.
 func TestAnswerOfTheOwnTargetEndsAProbe(t *testing.T) {
 	r, v := newTestRouter(0, 1, 2)
 	out := &Output{}
@@ -159,8 +162,10 @@
 	}
 }
 
-// A home with an opening in its queue, which a balancer that has forgotten it had accepted
-// elsewhere, drops what the caller sends on its connection until the opening is refused.
+// A balancer that is not asked has accepted the caller's connection while its
+// home still has the opening pending. The home must look for the connection's
+// target instead of dropping the caller's packets until the opening is
+// refused.
 func TestCallerAcceptedByAForgottenHomeIsFound(t *testing.T) {
 	r, v := newTestRouter(0, 2, 1)
 	out := &Output{}
@@ -173,15 +178,16 @@
 	back := geneve.Hop{Kind: geneve.Ask, Count: asked.Hop.Count + 1, Flags: geneve.FlagExhausted}
 	passed(r, time.Second, v.Nodes[1].Data.Addr(), back, data, out)
 	if a := only(t, out, ToTarget); a.Target != target || r.Count(RetryProbe) != 1 {
-		t.Fatalf("the caller's request went on as %+v", a)
+		t.Fatalf("the caller's request was sent as %+v", a)
 	}
 	answer := packet.Build(testAddress, c, 5001, 1005, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
 	fromTarget(r, time.Second, target, answer, out)
 	only(t, out, ToCaller)
 }
 
-// A candidate's rejection comes to the balancer that has the flow, and the one that probes
-// stays with that candidate.
+// A candidate's reset reaches the home, which has the flow at another target,
+// while another balancer probes. The home must send a correction, or the probe
+// would stay with that candidate.
 func TestHomeTellsTheBalancerThatProbes(t *testing.T) {
 	home, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -190,10 +196,10 @@
 	own := otherThan(v, probed)
 	home.Take(time.Second, []Moved{{Caller: c, Address: testAddress, Target: own, Seq: 1001, State: flow.Open}}, out)
 	fromTarget(home, time.Second, probed, packet.Build(testAddress, c, 5001, 0, header.TCPFlagRst, nil), out)
-	told := only(t, out, ToPeer)
-	passed(prober, time.Second, v.Nodes[0].Data.Addr(), told.Hop, told.Packet, out)
+	correction := only(t, out, ToPeer)
+	passed(prober, time.Second, v.Nodes[0].Data.Addr(), correction.Hop, correction.Packet, out)
 	if a := only(t, out, ToTarget); a.Target != own || !bytes.Equal(a.Packet, data) {
-		t.Fatalf("the probed packet went on as %+v", a)
+		t.Fatalf("the probed packet was sent as %+v", a)
 	}
 	fromCaller(prober, time.Second, data, out)
 	if a := only(t, out, ToTarget); a.Target != own {
@@ -201,8 +207,9 @@
 	}
 }
 
-// The caller's acknowledgement is lost in a probe, and its target repeats the SYN-ACK, which
-// is dropped where the probe stays with another candidate, as a home asks about it too.
+// A probe of another candidate keeps the caller's acknowledgement from the
+// flow's target, which retransmits its SYN-ACK. The SYN-ACK must end the
+// probe, also when another home asks about it.
 func TestRepeatedAcceptanceEndsAProbe(t *testing.T) {
 	for _, flags := range []uint8{0, geneve.FlagFormer, geneve.FlagFormer | geneve.FlagCrossed} {
 		acceptedWhileProbed(t, flags)
@@ -216,17 +223,17 @@
 	data := packet.Build(testCaller, testAddress, 1001, 5001, header.TCPFlagAck|header.TCPFlagPsh, []byte("POST"))
 	fromCaller(r, time.Second, data, out)
 	own := otherThan(v, only(t, out, ToTarget).Target)
-	strange := packet.Build(testAddress, testCaller, 7000, 1001, header.TCPFlagSyn|header.TCPFlagAck, nil)
+	otherNumbers := packet.Build(testAddress, testCaller, 7000, 1001, header.TCPFlagSyn|header.TCPFlagAck, nil)
 	hop := geneve.Hop{Kind: geneve.Answer, Count: openingHops, Flags: flags, Target: own}
 	from := v.Nodes[0].Data.Addr()
-	passed(r, time.Second, from, hop, strange, out)
+	passed(r, time.Second, from, hop, otherNumbers, out)
 	if count(out.Actions, ToTarget) != 0 {
-		t.Fatalf("a SYN-ACK with other numbers counts: %+v", out.Actions)
+		t.Fatalf("a SYN-ACK with other numbers ended the probe: %+v", out.Actions)
 	}
 	r, _ = newTestRouter(0, 1, 2)
 	fromCaller(r, time.Second, data, out)
 	passed(r, time.Second, from, hop, synAck(testCaller, testAddress), out)
 	if a := only(t, out, ToTarget); a.Target != own || !bytes.Equal(a.Packet, data) {
-		t.Fatalf("the probed packet went on as %+v", a)
+		t.Fatalf("the probed packet was sent as %+v", a)
 	}
 }
--- a/internal/router/reason.go
+++ b/internal/router/reason.go
@@ -5,11 +5,12 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Reason says why a packet was refused, dropped or sent another way. Each has
-// a counter.
+// Reason is the reason for which a packet was refused, dropped or rerouted, or
+// an event of a flow. Each has a counter.
 type Reason uint8
 
-// The reasons. Refusals answer an opening packet with a reset.
+// The reasons. Refuse reasons are those for which an opening packet was
+// answered with a reset.
 const (
 	DropGeneveShort Reason = iota
 	DropGeneveVersion
@@ -94,10 +95,10 @@
 	"ask_silent", "silent_repeated", "silence_objected",
 }
 
-// String returns the counter's name.
+// String returns the reason's name in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons returns every reason, for metrics and the operators' pages.
+// Reasons returns all reasons, for metrics and operator output.
 func Reasons() []Reason {
 	out := make([]Reason, reasonCount)
 	for i := range out {
@@ -122,7 +123,7 @@
 	return DropPacketTCP
 }
 
-// GeneveReason returns the counter of a decapsulation error.
+// GeneveReason returns the reason for an error of geneve.Parse.
 func GeneveReason(err error) Reason {
 	switch err {
 	case geneve.ErrShort:
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -11,9 +11,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Every slot is taken and the admission deadline passes. The caller sees
-// "connection refused" and may safely try again: nothing reached a target, and
-// a repeated opening packet gets the same answer.
+// All slots are in use until the admission deadline. The waiting opening must
+// be refused without having reached a target, and a retransmitted opening
+// packet must be refused as well.
 func TestRefusedAtDeadlineReachedNoTarget(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -46,9 +46,9 @@
 	}
 }
 
-// The only target runs one note and leaves the opening of the next unanswered
-// until its deadline. The refusal must free that one's slot and no other, or
-// the target runs more notes than it has slots.
+// The only target has one request in progress and leaves the next opening
+// unanswered until its deadline. The refusal must release that opening's slot
+// and no other, or the target would get more requests than it has slots.
 func TestUnansweredRefusalFreesItsOwnSlot(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -67,20 +67,22 @@
 	}
 }
 
-// refusedHere is a stream that a router refused as its home, since its target was silent.
-func refusedHere(t *testing.T) openedHere {
+// refusedStream opens a stream at its home, whose target does not answer, and
+// returns it after the refusal.
+func refusedStream(t *testing.T) openedFlow {
 	t.Helper()
-	o := openHere(t)
+	o := openStreamAtHome(t)
 	for at := 1600 * time.Millisecond; o.r.Count(RefuseUnanswered) == 0; at += 600 * time.Millisecond {
 		o.r.Tick(at, o.out)
 	}
 	return o
 }
 
-// A refusal is overtaken by a connection that another home gave the caller: the refused
-// opening's home resets its target, and with it the caller's connection.
-func TestAcceptanceAfterRefusalIsTheCallersToJudge(t *testing.T) {
-	o := refusedHere(t)
+// After a refusal by its home, a caller may still be connected to the target
+// by another home. The home must forward the target's SYN-ACK: only the caller
+// knows whether it accepted the refusal, and resets the connection then.
+func TestAcceptanceAfterRefusalReachesTheCaller(t *testing.T) {
+	o := refusedStream(t)
 	r, c, target, out := o.r, o.caller, o.target, o.out
 	fromTarget(r, 5*time.Second, target, synAck(c, testAddress), out)
 	if seg := parsed(t, only(t, out, ToCaller)); !seg.IsAccept() {
@@ -88,17 +90,17 @@
 	}
 	fromCaller(r, 5*time.Second, packet.Build(c, testAddress, 1001, 0, header.TCPFlagRst, nil), out)
 	if a := only(t, out, ToTarget); a.Target != target || !parsedReset(t, a) {
-		t.Fatalf("the caller's reset went on as %+v", a)
+		t.Fatalf("the caller's reset was sent as %+v", a)
 	}
 	if n := r.pools[testService].Used(1, balance.Connection); n != 0 {
 		t.Fatalf("%d connections are counted", n)
 	}
 }
 
-// A refused caller that has its connection by another home sends its request, and the answer
-// is dropped at the home that refused.
+// A caller was refused by its home but connected to the target by another one.
+// The target's answer must reach it through the home that refused.
 func TestAnswerAfterRefusalReachesItsCaller(t *testing.T) {
-	o := refusedHere(t)
+	o := refusedStream(t)
 	r, c, target, out := o.r, o.caller, o.target, o.out
 	answer := packet.Build(testAddress, c, 5001, 1005, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
 	fromTarget(r, 5*time.Second, target, answer, out)
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -8,78 +8,78 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// abandonTarget resets the target of an opening whose caller began anew or has
-// its connection elsewhere, and releases it.
+// abandonTarget resets and releases the target of an opening whose caller
+// opened a new connection or is connected elsewhere.
 func (r *Router) abandonTarget(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	if e.State != flow.Opening {
 		return
 	}
 	if seg, err := packet.Parse(o.packet); err == nil {
-		r.decide(now, ResetAbandoned, e, out)
-		out.target(v, e.Target, packet.ResetAlong(&seg))
+		r.report(now, ResetAbandoned, e, out)
+		out.sendToTarget(v, e.Target, packet.ResetAlong(&seg))
 	}
 	r.release(e, o.addr.Service, o.addr.Unit())
 }
 
-// retryShed sends an opening that its target refused to another one. Without
-// retry budget it waits first: retries must not multiply the load on targets
-// that are full already.
-func (r *Router) retryShed(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
+// retryRefused sends an opening that its target refused to another one. If the
+// retry budget is spent it is queued first, so that retries do not multiply
+// the load on full targets.
+func (r *Router) retryRefused(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	p := r.pools[o.addr.Service]
-	if o.tries >= r.set.MaxTries {
+	if o.tries >= r.settings.MaxTries {
 		r.refuse(now, e.Key, RefuseRetryLimit, out)
 		return
 	}
 	if !p.Budget.Take() {
-		r.decide(now, RetryDelayed, e, out)
-		o.after = now + balance.ShedPause
+		r.report(now, RetryDelayed, e, out)
+		o.notBefore = now + balance.ShedPause
 		r.enqueue(now, e, o, out)
 		return
 	}
-	r.decide(now, RetryShed, e, out)
-	if _, ok := p.Choose(now, o.addr.Unit(), o.flow, o.tried); !ok {
-		// Every target with room was tried. Those that refused keep nothing
-		// of it and may be tried again.
-		o.tried = append([]uint32(nil), o.lost...)
+	r.report(now, RetryShed, e, out)
+	if _, ok := p.Choose(now, o.addr.Unit(), o.flowHash, o.tried); !ok {
+		// All targets with room were tried. A target that refused keeps no
+		// state of the opening and may be tried again.
+		o.tried = append([]uint32(nil), o.excluded...)
 	}
-	r.place(now, v, e, o, out)
+	r.dispatchOrQueue(now, v, e, o, out)
 }
 
-// retryLost sends an opening that its target left unanswered to another one.
-// The target is never tried again for this opening.
-//
-// Failure: its late acceptance would be taken for the answer to the second try
-// while the reset of the first try ends the connection. It shows as a reset of
-// a connection that was just accepted. Where no other target has room, or the
-// retry budget is spent, the opening stays with its target until the deadline.
+// retryUnanswered sends an opening that its target left unanswered to another
+// one. The first target is never tried again for this opening: its late
+// SYN-ACK would be taken for the answer to the second attempt, while the reset
+// for the first attempt ends the connection. If no other target has room or
+// the retry budget is spent, the opening stays with its target until the
+// deadline.
 //
-// The target left behind is reset only when its SYN-ACK arrives (crossed), after
-// the former homes were asked: while views differ another home may have opened
-// the flow there, and a reset sent at once would end the caller's connection.
-// Until then it holds a half-open connection that runs nothing, since the
-// caller's payload follows the acceptance that it saw.
-func (r *Router) retryLost(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
+// The abandoned target is reset only when its SYN-ACK arrives, after former
+// homes were asked (see rejectAccept). While views differ another home may
+// have opened the flow there, and an immediate reset would end the caller's
+// connection. Until then the target has a half-open connection on which
+// nothing is processed, since the caller sends payload only to the target
+// whose SYN-ACK it received.
+func (r *Router) retryUnanswered(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	p := r.pools[o.addr.Service]
-	_, other := p.Choose(now, o.addr.Unit(), o.flow, o.tried)
-	if !other || o.tries >= r.set.MaxTries || !p.Budget.Take() {
-		r.stay(now, v, e, o, out)
+	_, other := p.Choose(now, o.addr.Unit(), o.flowHash, o.tried)
+	if !other || o.tries >= r.settings.MaxTries || !p.Budget.Take() {
+		r.resend(now, v, e, o, out)
 		return
 	}
-	r.decide(now, RetryTimeout, e, out)
+	r.report(now, RetryTimeout, e, out)
 	p.Unanswered(now, e.Target)
 	o.exclude(e.Target)
 	r.releaseLater(now, e, o.addr.Service, o.addr.Unit())
-	r.place(now, v, e, o, out)
+	r.dispatchOrQueue(now, v, e, o, out)
 }
 
-// stay sends an opening to the same target again, or refuses it at its
+// resend sends an opening to the same target again, or refuses it at its
 // deadline.
-func (r *Router) stay(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
+func (r *Router) resend(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	if now >= o.deadline {
 		r.refuse(now, e.Key, RefuseUnanswered, out)
 		return
 	}
 	r.Increment(OpeningResent)
 	o.sentAt = now
-	out.target(v, e.Target, o.packet)
+	out.sendToTarget(v, e.Target, o.packet)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,7 @@
-// Package router decides what a balancer does with each packet. It does no
-// I/O and reads no clock: packets, views and the time go in, actions come
-// out. The daemon, the tests and the model checker run the same code.
+// Package router decides what a balancer does with each packet. It does no I/O
+// and reads no clock: its inputs are packets, views and the time, and its
+// outputs are actions. The daemon, the tests and the model checker run the
+// same code.
 package router
 
 import (
@@ -15,98 +16,101 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Settings bounds a Router. The zero value of a field takes its default.
+// Settings holds the limits and timeouts of a Router. A zero field takes its
+// default.
 type Settings struct {
 	MaxFlows      int           // entries of the flow table
-	MaxOpenings   int           // unfinished openings of one service
+	MaxOpenings   int           // pending openings of one service
 	MaxAsk        int           // balancers asked for an unknown flow
-	OpenTimeout   time.Duration // silence of a target after which an opening is retried
+	OpenTimeout   time.Duration // time without an answer after which an opening is retried
 	MaxTries      int           // targets tried for one opening
-	StreamIdle    time.Duration // idle stream flows are kept this long
-	RequestIdle   time.Duration // idle request flows are kept this long
-	SilentAfter   time.Duration // a segment repeated this long without an answer shows a silent flow
-	DeadAfter     time.Duration // the same when the target answers nobody
-	ProbeRate     float64       // probes a second for each service
-	AliveInterval time.Duration // control's longest pause before this node doubts itself
+	StreamIdle    time.Duration // time for which idle stream flows are kept
+	RequestIdle   time.Duration // time for which idle request flows are kept
+	SilentAfter   time.Duration // time of unanswered retransmissions after which a flow is reset
+	DeadAfter     time.Duration // the same if the target answers no other flow either
+	ProbeRate     float64       // probes per second for each service
+	AliveInterval time.Duration // time without a call of Alive after which this node is assumed to be replaced
 }
 
-// Defaults returns s with defaults in place of zero values.
+// Defaults returns s with defaults in place of zero fields.
 func (s Settings) Defaults() Settings {
-	def(&s.MaxFlows, 1<<20)
-	def(&s.MaxOpenings, 4096)
-	def(&s.MaxAsk, 3)
-	def(&s.OpenTimeout, 500*time.Millisecond)
-	def(&s.MaxTries, 4)
-	def(&s.StreamIdle, 15*time.Minute)
-	def(&s.RequestIdle, time.Minute)
-	def(&s.SilentAfter, 3*time.Second)
-	def(&s.DeadAfter, 30*time.Second)
-	def(&s.ProbeRate, 2000)
-	def(&s.AliveInterval, time.Second)
+	setDefault(&s.MaxFlows, 1<<20)
+	setDefault(&s.MaxOpenings, 4096)
+	setDefault(&s.MaxAsk, 3)
+	setDefault(&s.OpenTimeout, 500*time.Millisecond)
+	setDefault(&s.MaxTries, 4)
+	setDefault(&s.StreamIdle, 15*time.Minute)
+	setDefault(&s.RequestIdle, time.Minute)
+	setDefault(&s.SilentAfter, 3*time.Second)
+	setDefault(&s.DeadAfter, 30*time.Second)
+	setDefault(&s.ProbeRate, 2000)
+	setDefault(&s.AliveInterval, time.Second)
 	return s
 }
 
-func def[T int | float64 | time.Duration](p *T, v T) {
+func setDefault[T int | float64 | time.Duration](p *T, v T) {
 	if *p == 0 {
 		*p = v
 	}
 }
 
 // Router is one balancer's data-path state. Handle may be called by several
-// traffic goroutines: packets of known flows take only their shard's lock,
-// everything else takes mu.
+// traffic goroutines: packets of known flows lock only their table shard, and
+// all others lock mu.
 type Router struct {
-	set    Settings
-	view   atomic.Pointer[View]
-	alive  atomic.Int64 // time of control's last sign of life
-	table  *flow.Table
-	counts [reasonCount]atomic.Uint64
+	settings Settings
+	view     atomic.Pointer[View]
+	alive    atomic.Int64 // time of the last call of Alive
+	table    *flow.Table
+	counts   [reasonCount]atomic.Uint64
 
-	mu       sync.Mutex
-	pools    map[uint32]*pool
-	openings map[flow.Key]*opening
-	probes   map[flow.Key]*probe
-	silences map[flow.Key]*silence
-	suspects map[flow.Key]*silence // of these, those that the home repeats
-	sweepAt  int
-	sweptAt  time.Duration
+	mu              sync.Mutex
+	pools           map[uint32]*pool
+	openings        map[flow.Key]*opening
+	probes          map[flow.Key]*probe
+	retransmissions map[flow.Key]*retransmission
+	suspects        map[flow.Key]*retransmission // of these, those whose segments the home retransmits
+	sweepAt         int
+	sweptAt         time.Duration
 }
 
-// New returns a Router without a view; SetView must come before Handle.
+// New returns a Router without a view; SetView must be called before Handle.
 func New(s Settings) *Router {
 	s = s.Defaults()
 	return &Router{
-		set:      s,
-		table:    flow.NewTable(s.MaxFlows),
-		pools:    map[uint32]*pool{},
-		openings: map[flow.Key]*opening{},
-		probes:   map[flow.Key]*probe{},
-		silences: map[flow.Key]*silence{},
-		suspects: map[flow.Key]*silence{},
+		settings:        s,
+		table:           flow.NewTable(s.MaxFlows),
+		pools:           map[uint32]*pool{},
+		openings:        map[flow.Key]*opening{},
+		probes:          map[flow.Key]*probe{},
+		retransmissions: map[flow.Key]*retransmission{},
+		suspects:        map[flow.Key]*retransmission{},
 	}
 }
 
-// pool is a service's targets with the limit on its probes.
+// pool is the targets of one service, with the number of its openings and the
+// token bucket of its probes.
 type pool struct {
 	*balance.Pool
-	opening int
-	probes  float64 // tokens
-	probeAt time.Duration
+	openingCount    int
+	probeTokens     float64 // tokens
+	probeRefilledAt time.Duration
 }
 
-// Alive notes that control is running. Without it for AliveInterval the node
-// was paused, so that peers may have replaced it: it then decides nothing
-// while a peer can.
+// Alive records that the control loop is running. If it was not for
+// AliveInterval, this process may have been paused and replaced by its peers;
+// it then decides on no flow while a peer can.
 func (r *Router) Alive(now time.Duration) { r.alive.Store(int64(now)) }
 
-func (r *Router) doubt(now time.Duration) bool {
-	return now-time.Duration(r.alive.Load()) > r.set.AliveInterval
+func (r *Router) controlStalled(now time.Duration) bool {
+	return now-time.Duration(r.alive.Load()) > r.settings.AliveInterval
 }
 
-// Count returns how often reason occurred.
+// Count returns how often reason has occurred.
 func (r *Router) Count(reason Reason) uint64 { return r.counts[reason].Load() }
 
-// Increment counts a reason that the sockets' side found.
+// Increment counts a reason. The forwarding plane uses it for datagrams that
+// do not reach Handle.
 func (r *Router) Increment(reason Reason) { r.counts[reason].Add(1) }
 
 // Flows returns the number of entries in the flow table.
@@ -116,35 +120,35 @@
 
 // call is the state of one Handle call.
 type call struct {
-	r    *Router
-	v    *View
-	now  time.Duration
-	out  *Output
-	seg  packet.Segment
-	addr *Address
-	key  flow.Key
-	hash uint64 // of key, for the table
-	flow uint64 // of the flow, alike in every process
-	home int
-	// sender is the target that the packet came from, 0 for a caller's.
+	r        *Router
+	v        *View
+	now      time.Duration
+	out      *Output
+	seg      packet.Segment
+	addr     *Address
+	key      flow.Key
+	keyHash  uint64 // hash of key, for the table
+	flowHash uint64 // hash of the flow, the same in every process
+	home     int
+	// sender is the target that sent the packet, or 0 if the caller did.
 	sender uint32
 	hop    geneve.Hop
-	has    bool // hop is set
-	// spilled: another group passed the packet on, which counts as if the
-	// fabric had sent it.
+	hasHop bool // hop is set
+	// spilled: another group passed the packet on. It is handled as if it came
+	// from the fabric.
 	spilled bool
 }
 
-// Handle decides on one datagram that arrived from source. It appends actions
-// to out and allocates nothing for packets of known flows.
+// Handle decides on one datagram received from source. It appends the actions
+// to out, and allocates nothing for packets of known flows.
 func (r *Router) Handle(now time.Duration, source netip.Addr, d *geneve.Datagram, out *Output) {
-	c := call{r: r, v: r.view.Load(), now: now, out: out, hop: d.Hop, has: d.HasHop}
+	c := call{r: r, v: r.view.Load(), now: now, out: out, hop: d.Hop, hasHop: d.HasHop}
 	if err := c.seg.Decode(d.Inner); err != nil {
 		r.Increment(packetReason(err))
 		return
 	}
 	if d.HasHop && d.Hop.Flags&geneve.FlagSpilled != 0 {
-		c.has = false
+		c.hasHop = false
 		c.spilled = true
 		c.fromCaller()
 		return
@@ -167,27 +171,29 @@
 		return
 	}
 	c.key = flow.NewKey(c.seg.Src, c.addr.ID)
-	c.hash = c.key.Hash()
+	c.keyHash = c.key.Hash()
 	if !c.seg.IsOpening() && !c.seg.IsReset() && c.forwardKnown() {
 		return
 	}
-	c.locate(c.seg.Src, c.seg.Dst)
+	c.findHome(c.seg.Src, c.seg.Dst)
 	c.callerSlow()
 }
 
-// forwardKnown sends a caller's packet to its recorded target.
+// forwardKnown is the fast path for callers' packets: it sends the packet to
+// the flow's recorded target. It returns false if the packet needs the slow
+// path.
 func (c *call) forwardKnown() bool {
-	if c.has && c.hop.Kind != geneve.Ask {
+	if c.hasHop && c.hop.Kind != geneve.Ask {
 		return false
 	}
-	s := c.r.table.Shard(c.hash)
+	s := c.r.table.Shard(c.keyHash)
 	s.Lock()
-	e := s.Get(c.key, c.hash)
-	if e == nil || e.State != flow.Open && e.State != flow.Learned && e.State != flow.Closing || e.Flags&adopt != 0 {
+	e := s.Get(c.key, c.keyHash)
+	if e == nil || e.State != flow.Open && e.State != flow.Learned && e.State != flow.Closing || e.Flags&uncounted != 0 {
 		s.Unlock()
 		return false
 	}
-	if !sameIncarnation(e, c.seg.Seq) {
+	if !matchesEntry(e, c.seg.Seq) {
 		s.Unlock()
 		return false
 	}
@@ -198,32 +204,34 @@
 	if quiet {
 		return false
 	}
-	c.out.target(c.v, id, c.seg.Raw)
+	c.out.sendToTarget(c.v, id, c.seg.Raw)
 	return true
 }
 
-// seqSpan bounds how far a caller's numbers move between two answers.
-const seqSpan = 1 << 24
+// maxSeqDistance bounds the change in a caller's sequence numbers between two
+// answers.
+const maxSeqDistance = 1 << 24
 
-// sameIncarnation reports whether a caller's packet belongs to the flow that
-// the entry records.
+// matchesEntry reports whether a sequence number of the caller belongs to the
+// flow that the entry records.
 //
-// Failure: a caller uses a port again soon after its flow ended, the new flow
-// has another target, and a balancer that did not see the end still has the
-// old one. It shows as a jump of the caller's sequence numbers, which begin at
-// a random place in each flow. The packet then goes to the home, through which
-// the new opening passed.
-func sameIncarnation(e *flow.Entry, seq uint32) bool {
-	return e.Seq == 0 || near(seq, e.Seq)
+// If a caller reuses a port soon after its flow ended, the new flow may have
+// another target, while a balancer that did not see the end still has the old
+// one. The caller's sequence numbers then differ widely, since they start at a
+// random value in each flow. The packet is passed to the home, which has
+// handled the new opening.
+func matchesEntry(e *flow.Entry, seq uint32) bool {
+	return e.Seq == 0 || seqNear(seq, e.Seq)
 }
 
-// near reports whether two sequence numbers of one direction may belong to one flow.
-func near(a, b uint32) bool { return a-b < seqSpan || b-a < seqSpan }
+// seqNear reports whether two sequence numbers of one direction may belong to
+// the same flow.
+func seqNear(a, b uint32) bool { return a-b < maxSeqDistance || b-a < maxSeqDistance }
 
 func (c *call) fromTarget(vni uint32, from netip.Addr) {
 	c.addr = c.v.address(c.seg.Src)
 	if c.addr == nil || c.addr.Service != vni {
-		c.noteForeign(vni)
+		c.countForeign(vni)
 		return
 	}
 	id, ok := c.v.TargetIDs[TargetKey{vni, from.Unmap()}]
@@ -233,18 +241,19 @@
 	}
 	c.sender = id
 	c.key = flow.NewKey(c.seg.Dst, c.addr.ID)
-	c.hash = c.key.Hash()
+	c.keyHash = c.key.Hash()
 	special := c.seg.IsAccept() || c.seg.IsReset() || c.seg.IsFin()
-	if !special && !c.has && c.answerKnown(id) {
+	if !special && !c.hasHop && c.answerKnown(id) {
 		return
 	}
-	c.locate(c.seg.Dst, c.seg.Src)
-	c.noteAnswer(id)
+	c.findHome(c.seg.Dst, c.seg.Src)
+	c.recordAnswerTime(id)
 	c.answerSlow(id)
 }
 
-// noteForeign counts an answer that does not fit its number.
-func (c *call) noteForeign(vni uint32) {
+// countForeign counts an answer whose source address does not belong to the
+// service with its VNI.
+func (c *call) countForeign(vni uint32) {
 	if _, ok := c.v.Services[vni]; !ok {
 		c.r.Increment(DropForeignNumber)
 		return
@@ -252,13 +261,14 @@
 	c.r.Increment(DropUnknownAddress)
 }
 
-// answerKnown sends a target's packet to its caller if the target is the
-// recorded one.
+// answerKnown is the fast path for answers: it sends the packet to the caller
+// if it comes from the recorded target. It returns false if the packet needs
+// the slow path.
 func (c *call) answerKnown(id uint32) bool {
-	s := c.r.table.Shard(c.hash)
+	s := c.r.table.Shard(c.keyHash)
 	s.Lock()
-	e := s.Get(c.key, c.hash)
-	if e == nil || e.Target != id || e.State != flow.Open && e.State != flow.Learned && e.State != flow.Closing || e.Flags&adopt != 0 {
+	e := s.Get(c.key, c.keyHash)
+	if e == nil || e.Target != id || e.State != flow.Open && e.State != flow.Learned && e.State != flow.Closing || e.Flags&uncounted != 0 {
 		s.Unlock()
 		return false
 	}
@@ -271,24 +281,25 @@
 		e.Seq = c.seg.Ack
 	}
 	s.Unlock()
-	c.noteAnswer(id)
-	c.out.caller(c.seg.Raw)
+	c.recordAnswerTime(id)
+	c.out.sendToCaller(c.seg.Raw)
 	return true
 }
 
-// answerGrain keeps traffic goroutines from writing one word all the time.
-const answerGrain = int64(50 * time.Millisecond)
+// answeredResolution is the resolution of Target.Answered. It keeps traffic
+// goroutines from writing the same word for every packet.
+const answeredResolution = int64(50 * time.Millisecond)
 
-func (c *call) noteAnswer(id uint32) {
+func (c *call) recordAnswerTime(id uint32) {
 	at := c.v.Targets[id].Answered
-	if int64(c.now)-at.Load() > answerGrain {
+	if int64(c.now)-at.Load() > answeredResolution {
 		at.Store(int64(c.now))
 	}
 }
 
-func (c *call) locate(caller, address netip.AddrPort) {
-	c.flow = hashFlow(caller, address)
-	c.home = c.v.home(c.addr.homeKey(c.flow), c.r.doubt(c.now))
+func (c *call) findHome(caller, address netip.AddrPort) {
+	c.flowHash = hashFlow(caller, address)
+	c.home = c.v.home(c.addr.homeKey(c.flowHash), c.r.controlStalled(c.now))
 }
 
 func (c *call) isHome() bool { return c.home == c.v.Self }
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -9,43 +9,48 @@
 )
 
 const (
-	// quietTicks without an answer seen here make a balancer pass payload
-	// through the flow's home, where the pieces come together.
+	// quietTicks is the time without an answer at this balancer after which it
+	// passes a caller's payload through the flow's home, which compares the
+	// observations of all balancers.
 	quietTicks = uint32(2 * time.Second / flow.TickLength)
-	// minRepeats of one segment by its caller make the home repeat it too.
-	minRepeats = 2
-	// minUnanswered copies of one segment, the caller's and the home's, make a flow silent.
+	// minCallerCopies is the number of copies of one segment from the caller
+	// after which the home retransmits it as well.
+	minCallerCopies = 2
+	// minUnanswered is the number of unanswered copies of one segment, from
+	// the caller and the home, after which a flow counts as silent.
 	minUnanswered = 6
-	// repeatPause lies between two of the home's copies: twice a TCP's delayed answer,
-	// and a loss of several packets in a row is over.
-	repeatPause = 300 * time.Millisecond
-	// objectionWait is how long the other balancers have to tell of an answer.
+	// retransmitInterval is the time between two of the home's copies. It is
+	// twice TCP's delayed acknowledgement, and longer than a burst of packet
+	// loss.
+	retransmitInterval = 300 * time.Millisecond
+	// objectionWait is the time for other balancers to report a recent answer.
 	objectionWait = 300 * time.Millisecond
-	// minSilentPayload leaves out keepalive and window probes, which repeat
-	// a sequence number although they are answered.
-	minSilentPayload = 2
-	maxSilences      = 1 << 14
-	// maxSuspects bounds the flows that a home repeats segments of at once.
+	// minSilentPayload excludes keepalive and window probes, which repeat a
+	// sequence number although they are answered.
+	minSilentPayload   = 2
+	maxRetransmissions = 1 << 14
+	// maxSuspects is the maximum number of flows of which a home retransmits
+	// segments at a time.
 	maxSuspects = 1 << 8
 )
 
-// silence follows one segment that a caller repeats.
-type silence struct {
-	seq, ack uint32
-	count    int // copies by the caller
-	first    time.Duration
-	last     time.Duration
-	packet   []byte // kept while the home repeats the segment, nil before
-	copies   int    // by the home
-	copiedAt time.Duration
-	askedAt  time.Duration // 0 before the others are asked
+// retransmission is a segment that its caller retransmits.
+type retransmission struct {
+	seq, ack     uint32
+	callerCopies int // copies from the caller
+	firstAt      time.Duration
+	lastAt       time.Duration
+	packet       []byte // set once the home retransmits the segment
+	homeCopies   int    // copies from the home
+	homeCopyAt   time.Duration
+	askedAt      time.Duration // 0 until the other balancers are asked
 }
 
-// silentAtHome handles a packet that another balancer knows but has seen no
-// answer to. mu is not held.
+// silentAtHome handles a packet of a flow that another balancer knows but has
+// seen no recent answer of. mu is not held.
 func (c *call) silentAtHome() {
 	if !c.isHome() && c.hop.Count < openingHops {
-		c.toHome()
+		c.forwardToHome()
 		return
 	}
 	c.r.mu.Lock()
@@ -58,99 +63,102 @@
 			return
 		}
 		e = flow.Entry{Key: c.key, Target: id, State: flow.Open, LastAnswer: tick(c.now)}
-		c.r.hold(&e, c.addr.Service, c.addr.Unit())
-		c.decide(FlowAdopted, &e)
+		c.r.acquire(&e, c.addr.Service, c.addr.Unit())
+		c.report(FlowAdopted, &e)
 	}
-	if !c.placeKnown(&e) {
+	if !c.forwardByEntry(&e) {
 		c.probeUnknown(0)
 	}
 }
 
-// resetSilent notes a caller's packet and, when its flow has gone silent,
-// resets both ends.
+// resetSilent records a caller's packet and resets both ends of its flow if
+// the flow is silent. It reports whether it did.
 //
-// Failure: something between the two ends forgot the connection and drops its
-// packets, while new connections work. It shows as one segment repeated with
-// the same sequence and acknowledgement numbers: a flow that is answered moves
-// on in one of them. The target must have answered other flows meanwhile, or
-// DeadAfter must pass: a target that is paused keeps its flows. The caller then
-// reconnects rather than hangs. Health reports are not consulted.
+// A flow becomes silent when something between the two ends has lost the
+// connection's state and drops its packets, while new connections work. The
+// caller then sends one segment repeatedly with the same sequence and
+// acknowledgement numbers, of which one would change if it were answered. The
+// reset makes the caller reconnect instead of hanging. Since a paused target
+// keeps its flows, the flow is reset only if the target has answered other
+// flows in the meantime, or after DeadAfter. Health reports are not consulted.
 //
-// Failure: an answer passes here and is lost on its way to the caller, who repeats its
-// segment seconds later. It shows as a reset of a flow that both ends hold, as its own
-// answer is taken for one to another flow. Answers of the flow itself begin the count anew.
+// An answer may be forwarded here and lost on its way to the caller, which
+// then retransmits its segment seconds later. Answers of the flow itself
+// restart the count, so that they are not taken for answers to other flows and
+// a live flow is not reset.
 //
-// Segments get lost behind the home, and answers after they passed another balancer: the
-// home repeats the segment itself, and asks the others, before it resets a flow.
+// Segments may be lost between the home and the target, and answers after
+// another balancer forwarded them. The home therefore retransmits the segment
+// itself, and asks the other balancers, before it resets a flow.
 func (c *call) resetSilent(e *flow.Entry) bool {
 	if c.seg.PayloadLen < minSilentPayload || e.State == flow.Closing {
 		return false
 	}
-	s := c.r.silences[e.Key]
-	if s == nil && len(c.r.silences) >= maxSilences {
+	s := c.r.retransmissions[e.Key]
+	if s == nil && len(c.r.retransmissions) >= maxRetransmissions {
 		return false
 	}
-	if s == nil || s.seq != c.seg.Seq || s.ack != c.seg.Ack || e.LastAnswer >= tick(s.first) {
-		c.forgetSilence()
-		c.r.silences[e.Key] = &silence{seq: c.seg.Seq, ack: c.seg.Ack, count: 1, first: c.now, last: c.now}
+	if s == nil || s.seq != c.seg.Seq || s.ack != c.seg.Ack || e.LastAnswer >= tick(s.firstAt) {
+		c.forgetRetransmission()
+		c.r.retransmissions[e.Key] = &retransmission{seq: c.seg.Seq, ack: c.seg.Ack, callerCopies: 1, firstAt: c.now, lastAt: c.now}
 		return false
 	}
-	s.count++
-	s.last = c.now
-	if s.count >= minRepeats && s.packet == nil && len(c.r.suspects) < maxSuspects {
+	s.callerCopies++
+	s.lastAt = c.now
+	if s.callerCopies >= minCallerCopies && s.packet == nil && len(c.r.suspects) < maxSuspects {
 		s.packet = append([]byte(nil), c.seg.Raw...)
-		s.copiedAt = c.now
+		s.homeCopyAt = c.now
 		c.r.suspects[e.Key] = s
 	}
-	return c.judgeSilence(s, e)
+	return c.resetIfSilent(s, e)
 }
 
-// judgeSilence resets both ends of a flow whose silence is shown, and asks the other
-// balancers before it does.
-func (c *call) judgeSilence(s *silence, e *flow.Entry) bool {
-	if s.count < minRepeats || s.count+s.copies < minUnanswered || !c.silentLongEnough(s, e.Target) {
+// resetIfSilent resets both ends of a flow that meets all conditions of a
+// silent one, after asking the other balancers.
+func (c *call) resetIfSilent(s *retransmission, e *flow.Entry) bool {
+	if s.callerCopies < minCallerCopies || s.callerCopies+s.homeCopies < minUnanswered || !c.silentLongEnough(s, e.Target) {
 		return false
 	}
-	if s.askedAt == 0 && c.askOthers(e) {
+	if s.askedAt == 0 && c.askPeers(e) {
 		s.askedAt = c.now
 		return false
 	}
 	if c.now-s.askedAt < objectionWait {
 		return false
 	}
-	c.decide(ResetSilent, e)
-	c.out.caller(packet.ResetTo(&c.seg))
-	c.out.target(c.v, e.Target, packet.ResetAlong(&c.seg))
-	c.end(e)
+	c.report(ResetSilent, e)
+	c.out.sendToCaller(packet.ResetTo(&c.seg))
+	c.out.sendToTarget(c.v, e.Target, packet.ResetAlong(&c.seg))
+	c.endFlow(e)
 	return true
 }
 
-func (c *call) silentLongEnough(s *silence, target uint32) bool {
-	age := c.now - s.first
-	answersOthers := time.Duration(c.v.Targets[target].Answered.Load()) > s.first
-	return age >= c.r.set.DeadAfter || age >= c.r.set.SilentAfter && answersOthers
+func (c *call) silentLongEnough(s *retransmission, target uint32) bool {
+	age := c.now - s.firstAt
+	answersOthers := time.Duration(c.v.Targets[target].Answered.Load()) > s.firstAt
+	return age >= c.r.settings.DeadAfter || age >= c.r.settings.SilentAfter && answersOthers
 }
 
-// askOthers asks all other balancers for an answer of the flow that passed them, and
-// reports whether there are any.
-func (c *call) askOthers(e *flow.Entry) bool {
-	c.decide(AskSilent, e)
+// askPeers asks all other balancers whether they forwarded a recent answer of
+// the flow. It returns false if there are none.
+func (c *call) askPeers(e *flow.Entry) bool {
+	c.report(AskSilent, e)
 	hop := geneve.Hop{Kind: geneve.Silent, Count: 1, Flags: geneve.FlagAsked, Target: c.v.Targets[e.Target].Addr}
-	c.toOthers(hop, packet.Build(c.seg.Src, c.seg.Dst, c.seg.Seq, c.seg.Ack, c.seg.Flags, nil))
+	c.sendToPeers(hop, packet.Build(c.seg.Src, c.seg.Dst, c.seg.Seq, c.seg.Ack, c.seg.Flags, nil))
 	return len(c.v.Nodes) > 1
 }
 
-// toOthers sends a packet to all other balancers.
-func (c *call) toOthers(hop geneve.Hop, p []byte) {
+// sendToPeers sends a packet to all other balancers.
+func (c *call) sendToPeers(hop geneve.Hop, p []byte) {
 	for i := range c.v.Nodes {
 		if i != c.v.Self {
-			c.out.peer(c.v, i, c.addr.Service, hop, p)
+			c.out.sendToPeer(c.v, i, c.addr.Service, hop, p)
 		}
 	}
 }
 
-// objectToSilence tells a flow's home that its target answered lately.
-func (c *call) objectToSilence() {
+// reportRecentAnswer tells a flow's home that its target answered recently.
+func (c *call) reportRecentAnswer() {
 	e, ok := c.load()
 	if !ok || c.isHome() || e.Target != c.v.TargetIDs[TargetKey{c.addr.Service, c.hop.Target}] {
 		return
@@ -159,57 +167,58 @@
 		return
 	}
 	hop := geneve.Hop{Kind: geneve.Silent, Count: c.hop.Count + 1, Flags: geneve.FlagAnswered}
-	c.out.peer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
+	c.out.sendToPeer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
-// heedObjection takes another balancer's word that a flow's target answers.
-func (c *call) heedObjection() {
+// handleObjection handles a peer's report of a recent answer of the flow's
+// target.
+func (c *call) handleObjection() {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	c.decide(SilenceObjected, nil)
-	c.forgetSilence()
+	c.report(SilenceObjected, nil)
+	c.forgetRetransmission()
 }
 
-// forgetSilence begins the count of a flow's unanswered copies anew.
-func (c *call) forgetSilence() {
-	delete(c.r.silences, c.key)
+// forgetRetransmission restarts the count of a flow's unanswered copies.
+func (c *call) forgetRetransmission() {
+	delete(c.r.retransmissions, c.key)
 	delete(c.r.suspects, c.key)
 }
 
-// repeatSilent repeats the segments of flows that may be silent.
-func (r *Router) repeatSilent(now time.Duration, v *View, out *Output) {
+// retransmitSuspects retransmits the segments of flows that may be silent.
+func (r *Router) retransmitSuspects(now time.Duration, v *View, out *Output) {
 	var due []flow.Key
 	for k, s := range r.suspects {
-		if now-s.copiedAt >= repeatPause && now-s.first >= r.set.SilentAfter/2 {
+		if now-s.homeCopyAt >= retransmitInterval && now-s.firstAt >= r.settings.SilentAfter/2 {
 			due = append(due, k)
 		}
 	}
 	sortKeys(due)
 	for _, k := range due {
-		r.repeatOne(now, v, k, out)
+		r.retransmitOne(now, v, k, out)
 	}
 }
 
-func (r *Router) repeatOne(now time.Duration, v *View, k flow.Key, out *Output) {
+func (r *Router) retransmitOne(now time.Duration, v *View, k flow.Key, out *Output) {
 	s := r.suspects[k]
-	c := call{r: r, v: v, now: now, out: out, key: k, hash: k.Hash()}
+	c := call{r: r, v: v, now: now, out: out, key: k, keyHash: k.Hash()}
 	e, ok := c.load()
 	a, served := v.addressByID(k.Address)
-	if !ok || !served || !isLive(e.State) || e.LastAnswer >= tick(s.first) || c.seg.Decode(s.packet) != nil {
-		c.forgetSilence()
+	if !ok || !served || !isLive(e.State) || e.LastAnswer >= tick(s.firstAt) || c.seg.Decode(s.packet) != nil {
+		c.forgetRetransmission()
 		return
 	}
 	c.addr = &a.Address
-	c.locate(c.seg.Src, c.seg.Dst)
+	c.findHome(c.seg.Src, c.seg.Dst)
 	if !c.isHome() {
-		c.forgetSilence()
+		c.forgetRetransmission()
 		return
 	}
-	s.copiedAt = now
-	if c.judgeSilence(s, &e) || s.count+s.copies >= minUnanswered {
+	s.homeCopyAt = now
+	if c.resetIfSilent(s, &e) || s.callerCopies+s.homeCopies >= minUnanswered {
 		return
 	}
-	s.copies++
+	s.homeCopies++
 	r.Increment(SilentRepeated)
-	out.target(v, e.Target, s.packet)
+	out.sendToTarget(v, e.Target, s.packet)
 }
--- a/internal/router/silent_test.go
+++ b/internal/router/silent_test.go
@@ -11,10 +11,9 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// A stream goes silent for good while new ones at the same target work. The
-// caller repeats its segment; both ends are reset, so that the caller
-// reconnects. As long as the target answers nobody, it may only be paused, and
-// nothing is reset.
+// A stream whose segment is retransmitted without an answer must be reset at
+// both ends once its target has answered another flow. Until then the target
+// may be paused, and nothing may be reset.
 func TestSilentFlowIsReset(t *testing.T) {
 	r, v := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -38,16 +37,17 @@
 	}
 }
 
-// askedFor hands the caller's request to its home as from another balancer that does not
-// know the flow.
-func askedFor(r *Router, v *View, now time.Duration, out *Output) {
+// requestFromPeer passes the caller's request to its home, from another
+// balancer that does not know the flow.
+func requestFromPeer(r *Router, v *View, now time.Duration, out *Output) {
 	out.Reset()
 	req := packet.Build(testCaller, testAddress, 1001, 5001, header.TCPFlagAck|header.TCPFlagPsh, []byte("GET"))
 	hop := geneve.Hop{Kind: geneve.Ask, Count: 1}
 	r.Handle(now, v.Nodes[1].Data.Addr(), &geneve.Datagram{VNI: testService, Hop: hop, HasHop: true, Inner: req}, out)
 }
 
-// ticks runs a router's timers for a time, and returns what they sent.
+// ticks runs a router's timers from one time to another and returns the
+// actions.
 func ticks(r *Router, from, to time.Duration) []Action {
 	var all []Action
 	for now := from; now < to; now += 20 * time.Millisecond {
@@ -58,7 +58,7 @@
 	return all
 }
 
-// count returns how many of the actions have a destination.
+// count returns the number of actions with a destination.
 func count(as []Action, to Destination) int {
 	n := 0
 	for _, a := range as {
@@ -69,8 +69,9 @@
 	return n
 }
 
-// suspected is a flow of which the home has seen one segment twice, 4 s apart, through
-// another balancer, and no answer.
+// suspected returns a router that has received one segment of a flow twice, 4
+// s apart, from another balancer, and no answer. The flow's target has
+// answered another flow since.
 func suspected(t *testing.T) (*Router, *View, netip.Addr) {
 	t.Helper()
 	r, v := newTestRouter(0, 2, 1)
@@ -79,14 +80,14 @@
 	other := netip.AddrPortFrom(testCaller.Addr(), 41000)
 	open(r, v, 6*time.Second, other, out)
 	for _, at := range []time.Duration{4 * time.Second, 8 * time.Second} {
-		askedFor(r, v, at, out)
+		requestFromPeer(r, v, at, out)
 		only(t, out, ToTarget)
 	}
 	return r, v, target
 }
 
-// A young stream goes silent, and the caller's repeated segment arrives through balancers
-// that never saw one of its answers: those repeats must count too.
+// Retransmissions that arrive through balancers without any answer of the flow
+// must count towards its reset as well.
 func TestSilentFlowIsResetThroughAsking(t *testing.T) {
 	r, _, target := suspected(t)
 	all := ticks(r, 8*time.Second, 10*time.Second)
@@ -101,11 +102,12 @@
 	}
 }
 
-// A request is lost behind the home, and its caller repeats it once, seconds later: the flow
-// is reset although its target holds it.
+// A request is lost between the home and the target and retransmitted once,
+// seconds later. The home must retransmit it and must not reset the flow,
+// which the target still has.
 func TestSegmentLostTwiceResetsNothing(t *testing.T) {
 	r, _, target := suspected(t)
-	all := ticks(r, 8*time.Second, 8*time.Second+2*repeatPause+100*time.Millisecond)
+	all := ticks(r, 8*time.Second, 8*time.Second+2*retransmitInterval+100*time.Millisecond)
 	if n := count(all, ToTarget); n != 2 || len(all) != 2 {
 		t.Fatalf("the home sent %+v, want two copies of the segment", all)
 	}
@@ -116,8 +118,9 @@
 	}
 }
 
-// The answers to a segment pass another balancer, and are lost on their way to the caller:
-// the home, which sees none of them, resets the flow.
+// The answers to a segment are forwarded by another balancer and lost on their
+// way to the caller. The home sees none of them, and must not reset the flow
+// when the other balancer reports them.
 func TestAnswersThatPassOthersResetNothing(t *testing.T) {
 	r, v, target := suspected(t)
 	other, _ := newTestRouter(1, 2, 1)
@@ -142,25 +145,24 @@
 	}
 	passed(other, 12*time.Second, v.Nodes[0].Data.Addr(), asked[0].Hop, asked[0].Packet, out)
 	if len(out.Actions) != 0 {
-		t.Fatalf("an old answer counts: %+v", out.Actions)
+		t.Fatalf("an old answer was reported: %+v", out.Actions)
 	}
 }
 
-// A target answers a request, and the answer is lost between the balancer and the caller.
-// The caller repeats its request seconds later, and both ends are reset although the target
-// holds the flow and has just answered on it. The request came through a balancer that had
-// yet to learn the flow, so that the home saw both copies; it took the flow's own answer as
-// proof that the target answers others ("to caller: R seq 1140850689" 3.1 s after the request,
-// with the answer lost in between).
+// A target's answer is lost between the balancer and the caller, which
+// retransmits its request seconds later. The request arrives through a
+// balancer that has not learned the flow, so that the home sees both copies.
+// The home must not take the flow's own answer for one to another flow and
+// reset both ends. The wrong reset came 3.1 s after the request.
 func TestAnsweredFlowIsNotSilent(t *testing.T) {
 	r, v := newTestRouter(0, 2, 1)
 	out := &Output{}
 	target := open(r, v, time.Second, testCaller, out)
-	asked := func(now time.Duration) { askedFor(r, v, now, out) }
+	asked := func(now time.Duration) { requestFromPeer(r, v, now, out) }
 	asked(4 * time.Second)
 	answer := packet.Build(testAddress, testCaller, 5001, 1004, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
 	fromTarget(r, 4*time.Second+5*time.Millisecond, target, answer, out)
-	only(t, out, ToCaller) // and it is lost
+	only(t, out, ToCaller) // lost on its way
 	asked(8 * time.Second)
 	only(t, out, ToTarget)
 	if n := r.Count(ResetSilent); n > 0 {
--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -8,14 +8,14 @@
 	"rosedale.dev/rosedale/internal/rendezvous"
 )
 
-// spill gives a new flow to another group when no target of this one can take
-// flows. Its answers come through that group's balancers; the caller's packets
-// go on to arrive here and are passed on by the home, which remembers only the
-// data centre. mu is held.
+// spill passes a new flow to another group when no target of this one can take
+// flows, and reports whether it did. Answers reach the caller through that
+// group's balancers. The caller's packets still arrive here and are passed on
+// by the home, which records only the data centre. mu is held.
 func (c *call) spill() bool {
 	dcs := c.v.Services[c.addr.Service].SpillTo
 	if len(dcs) == 0 || c.spilled {
-		return false // never on to a third group, nor back
+		return false // a spilled flow is passed on neither to a third group nor back
 	}
 	seeds := make([]uint64, len(dcs))
 	for i, dc := range dcs {
@@ -25,7 +25,7 @@
 		Key:        c.key,
 		Seq:        c.seg.Seq,
 		State:      flow.Spilled,
-		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
+		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flowHash, seeds)]),
 	}
 	c.r.Increment(FlowSpilled)
 	c.passSpilled(e)
@@ -44,7 +44,7 @@
 		if dataCenterHash(dc) != e.LastAnswer || len(nodes) == 0 {
 			continue
 		}
-		n := &nodes[rendezvous.First(c.flow, nodeSeeds(nodes))]
+		n := &nodes[rendezvous.First(c.flowHash, nodeSeeds(nodes))]
 		hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1, Flags: geneve.FlagSpilled}
 		c.out.Actions = append(c.out.Actions, Action{
 			To: ToPeer, Peer: n.Data, VNI: c.addr.Service, Hop: hop, Packet: c.seg.Raw,
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// closingIdle keeps ended and refused flows for late packets.
+	// closingIdle is the time for which ended, refused and handed-over flows
+	// are kept for late packets.
 	closingIdle = 10 * time.Second
-	// acceptedIdle bounds a flow whose caller never confirmed.
+	// acceptedIdle is the time for which flows that the caller has not
+	// confirmed, and probed flows, are kept.
 	acceptedIdle = 30 * time.Second
-	// sweepEvery table parts are swept within.
+	// sweepEvery is the time in which all parts of the table are swept once.
 	sweepEvery = 5 * time.Second
 )
 
-// Tick retries and refuses openings whose time has come and expires idle
-// entries. It should be called every few tens of milliseconds.
+// Tick retries and refuses openings that are due, retransmits segments of
+// flows that may be silent, and expires idle entries. It should be called
+// every few tens of milliseconds.
 func (r *Router) Tick(now time.Duration, out *Output) {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expireWaiters(now, out)
-	for _, k := range r.overdue(now) {
+	for _, k := range r.unansweredOpenings(now) {
 		r.openTimeout(now, v, k, out)
 	}
 	for n, p := range r.pools {
@@ -31,7 +34,7 @@
 			r.admitWaiting(now, v, n, out)
 		}
 	}
-	r.repeatSilent(now, v, out)
+	r.retransmitSuspects(now, v, out)
 	r.sweep(now)
 }
 
@@ -41,19 +44,20 @@
 		if p.Queue.Len() == 0 {
 			continue
 		}
-		r.refuseHopeless(now, p, out)
+		r.refuseLate(now, p, out)
 		for _, w := range p.Queue.Expired(now) {
 			r.refuse(now, w.Key, RefuseDeadline, out)
 		}
 	}
 }
 
-// overdue returns the openings that their target left unanswered, in a fixed
-// order so that runs repeat.
-func (r *Router) overdue(now time.Duration) []flow.Key {
+// unansweredOpenings returns the openings that their targets have left
+// unanswered for at least half of OpenTimeout, in a fixed order, so that runs
+// are repeatable.
+func (r *Router) unansweredOpenings(now time.Duration) []flow.Key {
 	var keys []flow.Key
 	for k, o := range r.openings {
-		if o.sentAt > 0 && now-o.sentAt >= r.set.OpenTimeout/2 {
+		if o.sentAt > 0 && now-o.sentAt >= r.settings.OpenTimeout/2 {
 			keys = append(keys, k)
 		}
 	}
@@ -75,53 +79,54 @@
 	return a.Address < b.Address
 }
 
-// openTimeout sends an unanswered opening again, which covers a lost packet,
-// and at the full timeout goes to another target.
+// openTimeout sends an unanswered opening again at half of OpenTimeout, in
+// case the packet was lost, and to another target at the full timeout.
 func (r *Router) openTimeout(now time.Duration, v *View, k flow.Key, out *Output) {
 	o := r.openings[k]
 	if o == nil {
-		return // refused while others were handled
+		return // removed while another opening was handled
 	}
 	e, ok := r.load(k, k.Hash())
 	if !ok {
-		r.finish(k, o)
+		r.removeOpening(k, o)
 		return
 	}
 	if e.State != flow.Opening {
 		return
 	}
-	if now-o.sentAt < r.set.OpenTimeout {
+	if now-o.sentAt < r.settings.OpenTimeout {
 		if !o.resent {
 			o.resent = true
 			r.Increment(OpeningResent)
-			out.target(v, e.Target, o.packet)
+			out.sendToTarget(v, e.Target, o.packet)
 		}
 		return
 	}
-	if v.home(o.addr.homeKey(o.flow), false) != v.Self {
+	if v.home(o.addr.homeKey(o.flowHash), false) != v.Self {
 		r.forgetOpening(now, &e, o, out)
 		return
 	}
-	r.retryLost(now, v, &e, o, out)
+	r.retryUnanswered(now, v, &e, o, out)
 }
 
-// forgetOpening drops an opening that this balancer decided on because views
+// forgetOpening deletes an opening that this balancer decided on because views
 // differed, although another one is its home.
 //
-// Failure: a copy of the opening packet goes back and forth between two views
-// and is decided on here, after the flow's home has opened the flow. It shows
-// as a reset of the caller's connection, since the timeout here abandons a
-// target that answered the home. The caller's next copy goes to the home, and
-// so does a late SYN-ACK, which then resets the target.
+// While views differ, a copy of the opening packet may be passed back and
+// forth until the hop limit makes this balancer decide on it, after the home
+// has opened the flow. A retry here would abandon a target that has answered
+// the home, and reset the caller's connection. The caller's next
+// retransmission goes to the home, and so does a late SYN-ACK, for which the
+// home resets the target.
 func (r *Router) forgetOpening(now time.Duration, e *flow.Entry, o *opening, out *Output) {
-	r.decide(now, OpeningForgotten, e, out)
-	r.finish(e.Key, o)
+	r.report(now, OpeningForgotten, e, out)
+	r.removeOpening(e.Key, o)
 	r.releaseLater(now, e, o.addr.Service, o.addr.Unit())
 	r.remove(e.Key)
 }
 
-// sweep expires a share of the table's parts, so that a pass over the whole
-// table takes sweepEvery and no call takes long.
+// sweep expires entries in some of the table's parts, so that the whole table
+// is swept in sweepEvery and no call takes long.
 func (r *Router) sweep(now time.Duration) {
 	parts := int(int64(now-r.sweptAt) * flow.Parts / int64(sweepEvery))
 	if parts == 0 {
@@ -133,28 +138,28 @@
 		r.table.EachInPart(r.sweepAt, func(e *flow.Entry) bool { return r.keep(now, e) })
 	}
 	for k, p := range r.probes {
-		if now-p.began > probeExpiry {
+		if now-p.startedAt > probeExpiry {
 			delete(r.probes, k)
 		}
 	}
-	for k, s := range r.silences {
-		if now-s.last > r.set.DeadAfter {
-			delete(r.silences, k)
+	for k, s := range r.retransmissions {
+		if now-s.lastAt > r.settings.DeadAfter {
+			delete(r.retransmissions, k)
 			delete(r.suspects, k)
 		}
 	}
 }
 
-// keep reports whether an entry stays, and releases it if not.
+// keep reports whether an entry stays. It releases an entry that does not.
 func (r *Router) keep(now time.Duration, e *flow.Entry) bool {
 	if now-time.Duration(e.LastPacket)*flow.TickLength <= r.idle(e) {
 		return true
 	}
 	if o := r.openings[e.Key]; o != nil {
 		if e.State == flow.Queued || e.State == flow.Opening {
-			return true // Tick ends openings itself
+			return true // Tick ends pending openings
 		}
-		r.finish(e.Key, o)
+		r.removeOpening(e.Key, o)
 	}
 	r.Increment(FlowExpired)
 	if a, ok := r.view.Load().addressByID(e.Key.Address); ok {
@@ -172,7 +177,7 @@
 	}
 	a, ok := r.view.Load().addressByID(e.Key.Address)
 	if ok && a.Class.UsesSlots() {
-		return r.set.RequestIdle
+		return r.settings.RequestIdle
 	}
-	return r.set.StreamIdle
+	return r.settings.StreamIdle
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -13,30 +13,31 @@
 	"rosedale.dev/rosedale/internal/rendezvous"
 )
 
-// View is what a balancer knows of its group and of the catalogue. Control
-// publishes a new View for each change; a published View is never modified.
+// View is a balancer's knowledge of its group and of the catalogue. The
+// control loop publishes a new View for each change; a published View is not
+// modified.
 type View struct {
 	Self    int // index in Nodes
 	Nodes   []Node
-	Partial bool // every balancer of some data centre is lost
+	Partial bool // all balancers of at least one data centre are unreachable
 	// Remotes are the serving balancers of other groups, by data centre.
 	Remotes   map[string][]Node
 	Addresses map[netip.AddrPort]Address
 	Services  map[uint32]Service   // by number
-	TargetIDs map[TargetKey]uint32 // every target that flows may still have
+	TargetIDs map[TargetKey]uint32 // includes removed targets that flows may still use
 	Targets   []Target             // by identifier; 0 is unused
 
-	byID   map[uint32]located
+	byID   map[uint32]serviceAddress
 	byAddr addressIndex
 }
 
-// Node is a balancer of the group that can be reached.
+// Node is a reachable balancer of the group.
 type Node struct {
 	Name       string
 	DataCenter string
 	Data       netip.AddrPort // receives encapsulated packets
 	Seed       uint64
-	Serving    bool // may be home: neither leaving nor starting
+	Serving    bool // may be a flow's home: neither leaving nor starting
 }
 
 // Address is a service address.
@@ -49,7 +50,7 @@
 	Withdrawn  bool // no longer in the catalogue: no new flows
 }
 
-// Unit returns what a flow of the address holds at its target.
+// Unit returns the unit that a flow of the address uses at its target.
 func (a *Address) Unit() balance.Unit {
 	if a.Class.UsesSlots() {
 		return balance.Slot
@@ -57,41 +58,42 @@
 	return balance.Connection
 }
 
-// Service is the balancing input of one service.
+// Service holds the balancing parameters and targets of one service.
 type Service struct {
 	Name    string
 	Slack   float64
 	Policy  balance.Policy
 	Targets []balance.Target
-	// SpillTo names the data centres of other groups that have targets while
+	// SpillTo lists the data centres of other groups that have targets, while
 	// no target of this group can take flows.
 	SpillTo []string
 }
 
-// TargetKey names a target: the same address under another service's number
-// is another target, so that its packets never carry a wrong number.
+// TargetKey identifies a target. The same address with another service's
+// number is another target, so that its packets never carry the wrong VNI.
 type TargetKey struct {
 	Service uint32
 	Addr    netip.Addr
 }
 
-// Target is a target by identifier.
+// Target describes the target of an identifier.
 type Target struct {
 	TargetKey
 	DataCenter string
-	// Answered is the time at which the target last answered any flow. It
-	// is shared by all views and written by the traffic goroutines.
+	// Answered is the time of the target's last answer to any flow, in steps
+	// of answeredResolution. It is shared by all views and written by the
+	// traffic goroutines.
 	Answered *atomic.Int64
 }
 
-// addressIndex finds service addresses by the packet's own bytes: the lookup is
-// made for every packet.
+// addressIndex maps the address and port of a packet to the service address.
+// The keys are cheap to build, as the lookup is made for every packet.
 type addressIndex struct {
 	v4 map[uint64]*Address
 	v6 map[vip6]*Address
 }
 
-// vip6 is an IPv6 service address as a key without pointers.
+// vip6 is an IPv6 service address and port as a map key without pointers.
 type vip6 struct {
 	addr [16]byte
 	port uint64
@@ -114,7 +116,8 @@
 	x.v6[vip6{ap.Addr().As16(), uint64(ap.Port())}] = a
 }
 
-// address returns the service address that a packet names, or nil.
+// address returns the service address that a packet is sent to or comes from,
+// or nil.
 func (v *View) address(ap netip.AddrPort) *Address {
 	if ap.Addr().Is4() {
 		return v.byAddr.v4[vip4(ap)]
@@ -122,7 +125,8 @@
 	return v.byAddr.v6[vip6{ap.Addr().As16(), uint64(ap.Port())}]
 }
 
-// hashFlow hashes a flow's end points alike in every process.
+// hashFlow returns the hash of a flow's endpoints, which is the same in every
+// process.
 func hashFlow(caller, address netip.AddrPort) uint64 {
 	var b [36]byte
 	c, a := caller.Addr().As16(), address.Addr().As16()
@@ -133,9 +137,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// homeKey is the key by which a flow's home is chosen. Flows that hold slots
+// homeKey returns the rendezvous key for a flow's home. Flows that use slots
 // share their service's home, which therefore knows the exact use of every
-// slot; other flows are spread over all balancers.
+// slot; other flows are distributed over all balancers.
 func (a *Address) homeKey(flowHash uint64) uint64 {
 	if a.Class.UsesSlots() {
 		return rendezvous.Score(uint64(a.Service), 0x5e71)
@@ -143,13 +147,14 @@
 	return flowHash
 }
 
-// home returns the index of the node that decides for key: the first that is
-// serving. In doubt this node counts itself out while another one serves.
-func (v *View) home(key uint64, doubt bool) int {
+// home returns the index of the node that decides for key: the first serving
+// one in rendezvous order. With excludeSelf this node is skipped while another
+// one serves.
+func (v *View) home(key uint64, excludeSelf bool) int {
 	best, at := uint64(0), -1
 	for i := range v.Nodes {
 		n := &v.Nodes[i]
-		if !n.Serving || doubt && i == v.Self {
+		if !n.Serving || excludeSelf && i == v.Self {
 			continue
 		}
 		if s := rendezvous.Score(key, n.Seed); at < 0 || s > best {
@@ -170,9 +175,10 @@
 	return seeds
 }
 
-// nextAfter returns the reachable node that follows place n in the order of
-// key, leaving out home and this node, or -1. A node that just became home
-// finds its predecessor first, whether that is leaving or still serving.
+// nextAfter returns the index of the reachable node at position n, from 0, in
+// the rendezvous order of key without home and this node, or -1. For a node
+// that has just become home, position 0 is the former home, which may be
+// leaving or still serving.
 func (v *View) nextAfter(key uint64, home, n int) int {
 	for _, i := range rendezvous.Order(nil, key, nodeSeeds(v.Nodes), n+3) {
 		if i == home || i == v.Self {
--- a/internal/router/views_test.go
+++ b/internal/router/views_test.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// callerOf returns a caller whose flows to the stream address have node home.
+// callerOf returns a caller whose flow to testAddress has the given home.
 func callerOf(v *View, home int) netip.AddrPort {
 	a := v.Addresses[testAddress]
 	for port := uint16(20000); ; port++ {
@@ -23,24 +23,24 @@
 	}
 }
 
-// passed hands r a packet that another balancer passed on.
+// passed handles a packet that another balancer passed on to r.
 func passed(r *Router, now time.Duration, from netip.Addr, hop geneve.Hop, p []byte, out *Output) {
 	out.Reset()
 	r.Handle(now, from, &geneve.Datagram{VNI: testService, Hop: hop, HasHop: true, Inner: p}, out)
 }
 
-// openedHere is a stream that a router opens as its home.
-type openedHere struct {
+// openedFlow is a stream whose opening packet a router has sent to a target.
+type openedFlow struct {
 	r             *Router
 	v             *View
 	caller        netip.AddrPort
-	target, other netip.Addr // the one that the opening went to, and another
+	target, other netip.Addr // the target of the opening, and another one
 	out           *Output
 }
 
-func openHere(t *testing.T) openedHere {
+func openStreamAtHome(t *testing.T) openedFlow {
 	t.Helper()
-	o := openedHere{out: &Output{}}
+	o := openedFlow{out: &Output{}}
 	o.r, o.v = newTestRouter(0, 2, 2)
 	o.caller = callerOf(o.v, 0)
 	fromCaller(o.r, time.Second, syn(o.caller, testAddress, 1000), o.out)
@@ -49,11 +49,11 @@
 	return o
 }
 
-// openFormer opens a stream at a balancer that decides on it though another one is its
-// home by now.
-func openFormer(t *testing.T, targets int) openedHere {
+// openStreamAtFormerHome opens a stream at a balancer that decides on it
+// although another one is its home.
+func openStreamAtFormerHome(t *testing.T, targets int) openedFlow {
 	t.Helper()
-	o := openedHere{out: &Output{}}
+	o := openedFlow{out: &Output{}}
 	o.r, o.v = newTestRouter(1, 2, targets)
 	o.caller = callerOf(o.v, 0)
 	opening := geneve.Hop{Kind: geneve.Opening, Count: openingHops}
@@ -62,17 +62,17 @@
 	return o
 }
 
-// otherThan returns a target that is not mine.
-func otherThan(v *View, mine netip.Addr) netip.Addr {
-	if v.Targets[1].Addr != mine {
+// otherThan returns a target other than the given one.
+func otherThan(v *View, own netip.Addr) netip.Addr {
+	if v.Targets[1].Addr != own {
 		return v.Targets[1].Addr
 	}
 	return v.Targets[2].Addr
 }
 
-// A target refuses the first copy of an opening packet, accepts the second, and
-// the refusal arrives last. The caller has its stream; it must not count as
-// ended, or its slot is given away and a third copy opens it elsewhere.
+// A target refuses the first copy of an opening packet and accepts the second,
+// and the refusal arrives last. The flow must not be ended by it, or its slot
+// would be released and a third copy would open it at another target.
 func TestLateRefusalEndsNothing(t *testing.T) {
 	r, v := newTestRouter(0, 1, 2)
 	out := &Output{}
@@ -84,13 +84,14 @@
 	}
 }
 
-// A balancer joins, and the caller's repeated opening packet reaches it before
-// the former home's news. Each has opened the stream at a target of its own. A
-// SYN-ACK of the other one's target may already be the caller's connection: only
-// the former home can tell. One that has forgotten it must not reset that target,
-// which the home does once the caller has confirmed its own.
+// A balancer joins, and the caller's retransmitted opening packet reaches it
+// before the handover, so that two homes open the stream at two targets. A
+// SYN-ACK of the former home's target may already be the caller's connection,
+// so the new home must ask the former one. A former home without a record must
+// not reset the target; the home does so once the caller has confirmed its own
+// connection.
 func TestCrossedAcceptanceIsForTheFormerHome(t *testing.T) {
-	o := openHere(t)
+	o := openStreamAtHome(t)
 	r, v, c, other, out := o.r, o.v, o.caller, o.other, o.out
 	fromTarget(r, time.Second, other, synAck(c, testAddress), out)
 	a := only(t, out, ToPeer)
@@ -111,9 +112,9 @@
 	}
 }
 
-// A home hands an opening over and gets the caller's packet back from a
-// balancer with an older view. Opening it again would give the stream two
-// targets.
+// A home hands over an opening and gets the caller's packet back from a
+// balancer with an older view. It must not open the stream again at a second
+// target.
 func TestHandedOpeningIsNotOpenedAgain(t *testing.T) {
 	after := testView(0, 2, 2)
 	c := callerOf(after, 1)
@@ -135,8 +136,8 @@
 }
 
 // Two balancers take each other for a stream's home until the hop limit makes
-// one decide that is not. Its target stays silent while the home's answers: the
-// timeout must not try another target for a stream that lives elsewhere.
+// the wrong one decide. If its target does not answer, it must not retry at
+// another target, since the home may have opened the stream.
 func TestOpeningOfAnotherHomeIsForgotten(t *testing.T) {
 	r, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -151,15 +152,16 @@
 	}
 }
 
-// The former home gave the caller a connection to its target while this
-// balancer opened the same stream at another one. The caller's connection wins.
+// The former home delivered a target's SYN-ACK while this balancer opened the
+// same stream at another target. The handover must end the opening here and
+// keep the caller's connection.
 func TestAcceptedFlowWinsAtHandover(t *testing.T) {
-	o := openHere(t)
-	r, c, mine, other, out := o.r, o.caller, o.target, o.other, o.out
+	o := openStreamAtHome(t)
+	r, c, own, other, out := o.r, o.caller, o.target, o.other, o.out
 	out.Reset()
 	m := Moved{Caller: c, Address: testAddress, Target: other, Seq: 5000, State: flow.Accepted}
 	r.Take(time.Second, []Moved{m}, out)
-	if a := only(t, out, ToTarget); a.Target != mine || !parsedReset(t, a) {
+	if a := only(t, out, ToTarget); a.Target != own || !parsedReset(t, a) {
 		t.Fatalf("the opening here was not ended: %+v", a)
 	}
 	fromCaller(r, time.Second, packet.Build(c, testAddress, 1001, 5001, header.TCPFlagAck, nil), out)
@@ -173,10 +175,10 @@
 	return seg.IsReset()
 }
 
-// A target's SYN-ACK is lost, and it answers the repeated opening packet with a
-// bare acknowledgement before the opening goes to another target. A balancer
-// that this answer passes must not send the caller's note to the target left
-// behind, or it may run there and at the other one.
+// A target's SYN-ACK is lost, and it answers the retransmitted opening packet
+// with a bare acknowledgement before the opening goes to another target. A
+// balancer that forwards this answer must not send the caller's request to the
+// first target, or both could process it.
 func TestBareAcknowledgementIsNoFlow(t *testing.T) {
 	r, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -196,18 +198,18 @@
 	bare(1005)
 	fromCaller(r, time.Second, note, out)
 	if a := only(t, out, ToTarget); a.Target != left {
-		t.Fatalf("a flow that moves on was not learned: %+v", a)
+		t.Fatalf("a flow that progresses was not learned: %+v", a)
 	}
 }
 
-// The new home of a stream knows nothing yet, and passes a SYN-ACK on to the
-// former one, which has the stream at another target. Nobody may give the caller
-// a connection to a target that is about to be reset.
+// A new home passes an unknown SYN-ACK to the former one, which has the stream
+// at another target. The SYN-ACK must not reach the caller, and its target
+// must be reset only once the caller has confirmed.
 func TestFormerHomeWithAnotherTargetRejects(t *testing.T) {
-	o := openFormer(t, 2)
-	r, v, c, mine, out := o.r, o.v, o.caller, o.target, o.out
-	other := otherThan(v, mine)
-	hop := geneve.Hop{Kind: geneve.Answer, Count: openingHops, Flags: geneve.FlagFormer, Target: mine}
+	o := openStreamAtFormerHome(t, 2)
+	r, v, c, own, out := o.r, o.v, o.caller, o.target, o.out
+	other := otherThan(v, own)
+	hop := geneve.Hop{Kind: geneve.Answer, Count: openingHops, Flags: geneve.FlagFormer, Target: own}
 	passed(r, time.Second, v.Nodes[0].Data.Addr(), hop, synAck(c, testAddress), out)
 	only(t, out, ToCaller)
 	hop.Target = other
@@ -225,12 +227,13 @@
 	}
 }
 
-// Two homes have a stream's opening in their queues while views differ. Its target has
-// refused one copy of the opening packet and accepts another; the home that gets the
-// acceptance has no room for it and passes it on to the former one, which has. A reset sent
-// to the target there would end the connection that a further copy has opened meanwhile.
+// While views differ, two homes have a stream's opening in their queues. Its
+// target refused one copy of the opening packet and accepted another, and the
+// home that gets the SYN-ACK has no room and passes it to the former one. That
+// one has room and must deliver it; a reset could end the connection that a
+// further copy has opened.
 func TestFormerHomeTakesTheAcceptanceItWaitsFor(t *testing.T) {
-	o := openFormer(t, 1)
+	o := openStreamAtFormerHome(t, 1)
 	r, v, c, target, out := o.r, o.v, o.caller, o.target, o.out
 	refusal := packet.Build(testAddress, c, 0, 1001, header.TCPFlagRst|header.TCPFlagAck, nil)
 	answer := geneve.Hop{Kind: geneve.Answer, Count: openingHops, Target: target}
@@ -241,14 +244,15 @@
 	only(t, out, ToCaller)
 }
 
-// The former home gave the caller a connection to its target, and this home, which has yet
-// to hear of it, opened the flow at another one whose acceptance the caller ignored. The
-// answers of the caller's target must not be corrected to that other one at all balancers:
-// it would get the caller's packets and reset the flow.
+// The former home delivered a target's SYN-ACK, and this home, which has not
+// received the handover yet, opened the flow at another target, whose SYN-ACK
+// the caller ignored. Answers of the caller's target must not cause
+// corrections to the other target, which would get the caller's packets and
+// reset the flow.
 func TestUnconfirmedAcceptanceCorrectsNobody(t *testing.T) {
-	o := openHere(t)
-	r, c, mine, other, out := o.r, o.caller, o.target, o.other, o.out
-	fromTarget(r, time.Second, mine, synAck(c, testAddress), out)
+	o := openStreamAtHome(t)
+	r, c, own, other, out := o.r, o.caller, o.target, o.other, o.out
+	fromTarget(r, time.Second, own, synAck(c, testAddress), out)
 	only(t, out, ToCaller)
 	const seq = 1 << 30 // of the other target
 	answer := packet.Build(testAddress, c, seq+1, 1005, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
@@ -259,12 +263,14 @@
 	data := packet.Build(c, testAddress, 1005, seq+5, header.TCPFlagAck, nil)
 	fromCaller(r, time.Second, data, out)
 	if a := only(t, out, ToPeer); a.Hop.Kind != geneve.Ask {
-		t.Errorf("the caller's packet went on as %+v", a.Hop)
+		t.Errorf("the caller's packet was sent as %+v", a.Hop)
 	}
 }
 
-// Two balancers take each other for a stream's home. The one that handed its opening over gets
-// the target's SYN-ACK at the hop limit, and the new home refuses the opening as unanswered.
+// Two balancers take each other for a stream's home. The one that handed over
+// the opening gets the target's SYN-ACK at the hop limit and must pass it to
+// the new home, which would otherwise refuse the opening as unanswered. The
+// SYN-ACK must not circulate between them.
 func TestAcceptanceOfAHandedOpeningGoesToItsHome(t *testing.T) {
 	after := testView(0, 2, 1)
 	before := testView(0, 2, 1)
@@ -287,7 +293,7 @@
 	back := only(t, out, ToPeer)
 	passed(r, time.Second, after.Nodes[1].Data.Addr(), back.Hop, back.Packet, out)
 	if len(out.Actions) != 0 {
-		t.Fatalf("it circles: %+v", out.Actions)
+		t.Fatalf("the SYN-ACK circulates: %+v", out.Actions)
 	}
 	home.Take(time.Second, moved, out)
 	passed(home, time.Second, v.Nodes[0].Data.Addr(), a.Hop, a.Packet, out)
