--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -14,8 +14,8 @@
 	b6 = netip.MustParseAddrPort("[2001:db8::10]:80")
 )
 
-// Packets as they are built here parse to the same fields, and resets answer
-// them as RFC 9293 says.
+// Checks that built packets parse to the same fields, and that resets have the
+// numbers that RFC 9293 requires.
 func TestResetAnswers(t *testing.T) {
 	for _, x := range [][2]netip.AddrPort{{a4, b4}, {a6, b6}} {
 		syn, err := Parse(Build(x[0], x[1], 100, 0, header.TCPFlagSyn, nil))
--- a/internal/packet/reset.go
+++ b/internal/packet/reset.go
@@ -10,8 +10,8 @@
 
 const resetTTL = 64
 
-// ResetTo returns the reset with which a host answers s when it has no such
-// connection (RFC 9293, section 3.10.7.1).
+// ResetTo returns the reset with which a host without the connection answers s
+// (RFC 9293, section 3.10.7.1).
 func ResetTo(s *Segment) []byte {
 	if s.HasAck() {
 		return reset(s.Dst, s.Src, s.Ack, 0, header.TCPFlagRst)
@@ -26,9 +26,9 @@
 	return reset(s.Dst, s.Src, 0, s.Seq+n, header.TCPFlagRst|header.TCPFlagAck)
 }
 
-// ResetAlong returns a reset in the direction of s, from its sender to its
-// receiver, that fits behind what the receiver has accepted of s. For an
-// opening packet that is the first number after its SYN.
+// ResetAlong returns a reset from the sender of s to its receiver, with a
+// sequence number that the receiver accepts as the next one. For an opening
+// packet that is the number after its SYN.
 func ResetAlong(s *Segment) []byte {
 	seq := s.Seq
 	if s.Flags&header.TCPFlagSyn != 0 {
@@ -44,7 +44,7 @@
 	return Build(src, dst, seq, ack, flags, nil)
 }
 
-// Build returns an IP packet with one TCP segment without options.
+// Build returns an IP packet with one TCP segment and no options.
 func Build(src, dst netip.AddrPort, seq, ack uint32, flags header.TCPFlags, payload []byte) []byte {
 	sa := tcpip.AddrFromSlice(src.Addr().AsSlice())
 	da := tcpip.AddrFromSlice(dst.Addr().AsSlice())
@@ -68,8 +68,8 @@
 
 const buildWindow = 65535
 
-// buildIP returns a packet for n bytes of TCP with its IP header filled in, and
-// that header's length.
+// buildIP returns a packet with room for n bytes of TCP and a complete IP
+// header, and the length of that header.
 func buildIP(v4 bool, sa, da tcpip.Address, n int) ([]byte, int) {
 	if !v4 {
 		b := make([]byte, header.IPv6MinimumSize+n)
--- a/internal/packet/segment.go
+++ b/internal/packet/segment.go
@@ -1,7 +1,7 @@
-// Package packet reads the inner IP packets that balancers forward and builds
-// the TCP resets that they send. Header layouts come from gvisor's header
-// package; this package only checks lengths and picks the fields that the
-// decisions need.
+// Package packet parses the inner IP packets that balancers forward, and
+// builds the TCP resets that they send. The header layouts come from gvisor's
+// header package; this package only checks lengths and extracts the fields
+// that forwarding decisions need.
 package packet
 
 import (
@@ -11,7 +11,7 @@
 	"gvisor.dev/gvisor/pkg/tcpip/header"
 )
 
-// Errors of Parse, one for each kind of packet that is refused.
+// Errors returned by Parse, one for each kind of packet that is rejected.
 var (
 	ErrShort    = errors.New("packet: truncated")
 	ErrVersion  = errors.New("packet: neither IPv4 nor IPv6")
@@ -21,7 +21,8 @@
 	ErrTCP      = errors.New("packet: malformed TCP header")
 )
 
-// Segment is one TCP segment in its IP packet. Raw aliases the parsed buffer.
+// Segment is a TCP segment with its addresses. Raw is the whole IP packet and
+// aliases the parsed buffer.
 type Segment struct {
 	Src, Dst   netip.AddrPort
 	Seq, Ack   uint32
@@ -30,14 +31,14 @@
 	Raw        []byte
 }
 
-// Parse decodes b without allocating.
+// Parse decodes the IP packet b without allocating.
 func Parse(b []byte) (Segment, error) {
 	var s Segment
 	err := s.Decode(b)
 	return s, err
 }
 
-// Decode is Parse in place. After an error s is partly filled.
+// Decode decodes the IP packet b into s. After an error s is partly filled.
 func (s *Segment) Decode(b []byte) error {
 	if len(b) < 1 {
 		return ErrShort
@@ -109,12 +110,12 @@
 	return nil
 }
 
-// IsOpening reports whether s asks for a new connection (SYN without ACK).
+// IsOpening reports whether s is an opening packet (SYN without ACK).
 func (s *Segment) IsOpening() bool {
 	return s.Flags&(header.TCPFlagSyn|header.TCPFlagAck|header.TCPFlagRst) == header.TCPFlagSyn
 }
 
-// IsAccept reports whether s accepts a connection (SYN with ACK).
+// IsAccept reports whether s accepts a connection (SYN-ACK).
 func (s *Segment) IsAccept() bool {
 	const both = header.TCPFlagSyn | header.TCPFlagAck
 	return s.Flags&(both|header.TCPFlagRst) == both
@@ -123,7 +124,7 @@
 // IsReset reports whether s resets its connection.
 func (s *Segment) IsReset() bool { return s.Flags&header.TCPFlagRst != 0 }
 
-// IsFin reports whether s ends its sender's direction.
+// IsFin reports whether s ends its sender's direction of the connection.
 func (s *Segment) IsFin() bool { return s.Flags&header.TCPFlagFin != 0 }
 
 // HasAck reports whether the acknowledgement number is valid.
