--- a/internal/geneve/geneve.go
+++ b/internal/geneve/geneve.go
@@ -1,6 +1,6 @@
-// Package geneve encodes and decodes the Geneve header (RFC 8926) that
-// carries whole IP packets between the fabric, the balancers and the targets,
-// and the one experimental option that balancers add between themselves.
+// Package geneve encodes and decodes the Geneve header (RFC 8926) that carries
+// whole IP packets between the fabric, the balancers and the targets, and the
+// experimental option for packets between balancers.
 package geneve
 
 import (
@@ -13,9 +13,9 @@
 const (
 	// HeaderLen is the length in bytes of the header without options.
 	HeaderLen = 8
-	// Port is the UDP port that IANA assigned to Geneve.
+	// Port is the UDP port assigned to Geneve by IANA.
 	Port = 6081
-	// MaxVNI is the largest virtual network identifier, 24 bits wide.
+	// MaxVNI is the largest virtual network identifier, which has 24 bits.
 	MaxVNI = 1<<24 - 1
 
 	protoIPv4 = 0x0800
@@ -31,7 +31,7 @@
 	flagOAM      = 0x80
 )
 
-// Errors of Parse, one for each way in which a datagram can be malformed.
+// Errors returned by Parse, one for each kind of malformed datagram.
 var (
 	ErrShort    = errors.New("geneve: datagram shorter than its header")
 	ErrVersion  = errors.New("geneve: unknown version")
@@ -40,7 +40,8 @@
 	ErrCritical = errors.New("geneve: unknown critical option or control packet")
 )
 
-// Datagram is a decoded encapsulation. Inner aliases the parsed buffer.
+// Datagram is a decoded encapsulation. Inner is the IP packet and aliases the
+// parsed buffer.
 type Datagram struct {
 	VNI    uint32
 	Hop    Hop
@@ -48,7 +49,7 @@
 	Inner  []byte
 }
 
-// Parse decodes b. It allocates nothing.
+// Parse decodes b without allocating.
 func Parse(b []byte) (Datagram, error) {
 	var d Datagram
 	if len(b) < HeaderLen {
@@ -100,12 +101,13 @@
 	return nil
 }
 
-// Append encodes an encapsulation of inner onto dst. A nil hop adds no option.
+// Append appends the encapsulation of inner to dst. No option is added if hop
+// is nil.
 func Append(dst []byte, vni uint32, hop *Hop, inner []byte) []byte {
 	return append(AppendHeader(dst, vni, hop, inner), inner...)
 }
 
-// AppendHeader encodes only the header and the option that go before inner.
+// AppendHeader appends only the header and the option, without inner itself.
 func AppendHeader(dst []byte, vni uint32, hop *Hop, inner []byte) []byte {
 	opts := byte(0)
 	flags := byte(0)
@@ -125,7 +127,8 @@
 	return dst
 }
 
-// Unmap returns a without the IPv4-in-IPv6 form that dual-stack sockets use.
+// Unmap converts an IPv4-mapped IPv6 address, as dual-stack sockets return it,
+// to IPv4.
 func Unmap(a netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
--- a/internal/geneve/geneve_test.go
+++ b/internal/geneve/geneve_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// A balancer of the next version may make the option longer; this one reads
-// the part that it knows.
+// A newer version may make the option longer; this one must read the part that
+// it knows.
 func TestLongerOptionOfNextVersion(t *testing.T) {
 	b := Append(nil, 101, &Hop{Kind: Ask, Count: 1}, nil)
 	b[0] += 2
@@ -65,7 +65,7 @@
 	f.Add(Append(nil, MaxVNI, &Hop{Kind: Answer, Target: netip.MustParseAddr("::1")}, []byte{0x60}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if d, err := Parse(b); err == nil && d.VNI > MaxVNI {
-			t.Fatalf("number %d", d.VNI)
+			t.Fatalf("VNI %d", d.VNI)
 		}
 	})
 }
--- a/internal/geneve/hop.go
+++ b/internal/geneve/hop.go
@@ -5,57 +5,63 @@
 	"net/netip"
 )
 
-// Kind says why one balancer passes a packet to another.
+// Kind is the reason for which one balancer passes a packet to another.
 type Kind uint8
 
 const (
 	// Opening is a caller's opening packet on its way to the flow's home.
 	Opening Kind = iota + 1
-	// Ask is a caller's packet of a flow that the sender does not know.
+	// Ask is a caller's packet of a flow that the sending balancer does not
+	// know.
 	Ask
 	// Answer is a target's packet that the home has to verify.
 	Answer
-	// Silent is a caller's packet of a known flow without recent answers.
+	// Silent is a caller's packet of a known flow without recent answers, or a
+	// question or report about such a flow; see FlagAsked and FlagAnswered.
 	Silent
-	// Correct returns an answer's headers to a balancer that recorded a
-	// target other than the home's; Target is the home's record.
+	// Correct returns an answer to a balancer that may have recorded a target
+	// other than the home's. Target is the target recorded by the home.
 	Correct
 )
 
-// HopVersion is the version of the option's layout. A receiver takes any
-// version at or above its own and ignores bytes that it does not know.
+// HopVersion is the version of the option's layout. Receivers accept any
+// version at or above their own and ignore bytes that they do not know.
 const HopVersion = 1
 
-// Hop is the option that travels between balancers. Target is the address
-// of the target that sent an answer, since the outer source is lost by then.
+// Hop is the option that balancers add to packets between them. For an answer,
+// Target is the address of the target that sent it, since the outer source
+// address is replaced.
 type Hop struct {
 	Version uint8
 	Kind    Kind
-	Count   uint8 // balancers that passed the packet on so far
+	Count   uint8 // number of balancers that passed the packet on
 	Flags   uint8
 	Target  netip.Addr
 }
 
 // Flags of a Hop.
 const (
-	// FlagExhausted marks an Ask that came back to the home without an owner.
+	// FlagExhausted marks an Ask that returns to the home because no balancer
+	// that was asked knows the flow.
 	FlagExhausted = 1 << iota
-	// FlagFormer marks a SYN-ACK that a flow's home does not know, on its way
-	// to the balancer that was home before.
+	// FlagFormer marks a SYN-ACK or reset that the flow's home cannot
+	// attribute, on its way to former homes.
 	FlagFormer
-	// FlagSpilled marks a packet of a flow that another group serves: its
-	// receiver handles it as if the fabric had sent it.
+	// FlagSpilled marks a packet of a flow that another group serves. The
+	// receiver handles it as if it came from the fabric.
 	FlagSpilled
-	// FlagCrossed marks a SYN-ACK of another target than the home's, on its way
-	// to a former home, which knows it or resets the target.
+	// FlagCrossed marks a SYN-ACK of a target other than the home's, on its
+	// way to a former home, which delivers it if it knows it and otherwise
+	// rejects it.
 	FlagCrossed
-	// FlagAsked marks a Silent by which a flow's home asks the others for a recent answer
-	// of its target.
+	// FlagAsked marks a Silent by which a flow's home asks the other balancers
+	// for a recent answer of its target.
 	FlagAsked
-	// FlagAnswered marks a Silent by which one of them says that it saw one.
+	// FlagAnswered marks a Silent by which a balancer reports to a flow's home
+	// that it forwarded a recent answer.
 	FlagAnswered
-	// FlagRecorded marks a target's reset of a flow that its sender has on record at that
-	// target.
+	// FlagRecorded marks a target's reset of a flow that the sending balancer
+	// has recorded at that target.
 	FlagRecorded
 )
 
