--- a/internal/forward/plane.go
+++ b/internal/forward/plane.go
@@ -14,22 +14,24 @@
 
 const (
 	batchSize = 64
-	// maxDatagram covers jumbo frames with their encapsulation.
+	// maxDatagram is the size in bytes of a receive buffer, enough for a jumbo
+	// frame with its encapsulation.
 	maxDatagram = 9216
 )
 
-// Config says where a Plane receives and where the fabric is.
+// Config holds the addresses and the number of workers of a Plane.
 type Config struct {
 	Listen  netip.AddrPort
-	Fabric  netip.AddrPort // takes packets for callers
-	Sources []netip.Prefix // the fabric's addresses
-	Workers int            // traffic goroutines; zero takes one per processor, 4 at most
-	Relay   netip.AddrPort // set for the bare relay that measurements compare with
-	// Decided takes the decisions on flows, from several goroutines; nil for none.
+	Fabric  netip.AddrPort // receives packets for callers
+	Sources []netip.Prefix // addresses from which the fabric sends
+	Workers int            // traffic goroutines; 0 means one per processor, at most 4
+	Relay   netip.AddrPort // if set, every datagram is sent there unchanged, as a baseline for measurements
+	// Decided is called for each decision on a flow, from several goroutines.
+	// It may be nil.
 	Decided func(*router.Decision)
 }
 
-// Plane runs the traffic goroutines.
+// Plane owns the sockets of the data path and runs the traffic goroutines.
 type Plane struct {
 	cfg    Config
 	router *router.Router
@@ -38,15 +40,15 @@
 	socks  []*net.UDPConn
 	wg     sync.WaitGroup
 
-	// Counters of datagrams, for metrics.
+	// Counters of datagrams, exported as metrics.
 	Received, Sent, SendErrors atomic.Uint64
 	lastFabric                 atomic.Int64
 
-	tickMu sync.Mutex
-	tick   *worker
+	tickMu     sync.Mutex
+	tickWorker *worker
 }
 
-// New opens the sockets. Time is counted from begin.
+// New opens the sockets. The router's times are counted from begin.
 func New(cfg Config, r *router.Router, begin time.Time) (*Plane, error) {
 	if cfg.Workers <= 0 {
 		cfg.Workers = min(runtime.NumCPU(), 4)
@@ -61,11 +63,11 @@
 		}
 		p.socks = append(p.socks, c)
 	}
-	p.tick = newWorker(p, p.socks[0])
+	p.tickWorker = newWorker(p, p.socks[0])
 	return p, nil
 }
 
-// SetPeers sets the addresses from which hop options are believed.
+// SetPeers sets the addresses from which hop options are accepted.
 func (p *Plane) SetPeers(addrs []netip.Addr) {
 	m := make(map[netip.Addr]bool, len(addrs))
 	for _, a := range addrs {
@@ -74,7 +76,7 @@
 	p.peers.Store(&m)
 }
 
-// Start runs the traffic goroutines until Close.
+// Start starts the traffic goroutines, which run until Close.
 func (p *Plane) Start() {
 	for _, c := range p.socks {
 		w := newWorker(p, c)
@@ -86,25 +88,26 @@
 	}
 }
 
-// Tick runs the router's timers and sends what they decide.
+// Tick runs the router's timers and sends the resulting actions.
 func (p *Plane) Tick() {
 	p.Apply(func(now time.Duration, out *router.Output) { p.router.Tick(now, out) })
 }
 
-// Apply runs f and sends the actions that it leaves in its output.
+// Apply calls f and sends the actions that it adds to its output.
 func (p *Plane) Apply(f func(now time.Duration, out *router.Output)) {
 	p.tickMu.Lock()
 	defer p.tickMu.Unlock()
-	p.tick.out.Reset()
-	f(p.Now(), &p.tick.out)
-	p.tick.flush()
-	p.tick.report()
+	p.tickWorker.out.Reset()
+	f(p.Now(), &p.tickWorker.out)
+	p.tickWorker.flush()
+	p.tickWorker.report()
 }
 
 // Now returns the time since begin.
 func (p *Plane) Now() time.Duration { return time.Since(p.begin) }
 
-// LastFabric returns when the fabric last sent anything here.
+// LastFabric returns when the last datagram without a hop option arrived, as
+// time since begin.
 func (p *Plane) LastFabric() time.Duration { return time.Duration(p.lastFabric.Load()) }
 
 // Close closes the sockets and waits for the traffic goroutines.
@@ -124,8 +127,9 @@
 	return false
 }
 
-// trusted checks the outer source. Callers' packets come from the fabric, hop
-// options from peers; answers are checked against the targets by the router.
+// trusted checks the outer source address. Callers' packets must come from the
+// fabric, and hop options from peers. The router checks the sources of
+// answers.
 func (p *Plane) trusted(src netip.Addr, d *geneve.Datagram) bool {
 	switch {
 	case d.HasHop:
--- a/internal/forward/socket.go
+++ b/internal/forward/socket.go
@@ -1,5 +1,6 @@
-// Package forward owns the sockets of the data path: it receives encapsulated
-// packets in batches, asks the router what to do with each, and sends.
+// Package forward implements the I/O of the data path: it receives
+// encapsulated packets in batches, passes them to the router, and sends the
+// resulting actions.
 package forward
 
 import (
@@ -14,16 +15,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// batcher sends and receives several datagrams with one system call.
+// batcher sends and receives several datagrams in one system call.
 type batcher interface {
 	ReadBatch(ms []ipv4.Message, flags int) (int, error)
 	WriteBatch(ms []ipv4.Message, flags int) (int, error)
 }
 
-const socketBuffer = 4 << 20
+const socketBuffer = 4 << 20 // bytes
 
-// listen opens one of several sockets on the same address; the kernel spreads
-// datagrams over them by the hash of their outer addresses.
+// listen opens one of several sockets with the same address. The kernel
+// distributes datagrams over them by a hash of their outer addresses.
 func listen(addr netip.AddrPort) (*net.UDPConn, error) {
 	lc := net.ListenConfig{Control: reusePort}
 	pc, err := lc.ListenPacket(context.Background(), "udp", addr.String())
@@ -31,7 +32,8 @@
 		return nil, errors.Wrapf(err, "forward: listen on %s", addr)
 	}
 	c := pc.(*net.UDPConn)
-	// The kernel's own bound may be lower; that costs bursts, not correctness.
+	// The kernel may limit the buffers to less, which can cause loss in bursts
+	// but no errors.
 	_ = c.SetReadBuffer(socketBuffer)
 	_ = c.SetWriteBuffer(socketBuffer)
 	return c, nil
--- a/internal/forward/worker.go
+++ b/internal/forward/worker.go
@@ -13,13 +13,13 @@
 
 // worker is one traffic goroutine with its buffers.
 type worker struct {
-	plane *Plane
-	conn  batcher
-	in    []ipv4.Message
-	send  []ipv4.Message
-	heads [][]byte
-	addrs map[netip.AddrPort]*net.UDPAddr
-	out   router.Output
+	plane   *Plane
+	conn    batcher
+	in      []ipv4.Message
+	send    []ipv4.Message
+	headers [][]byte
+	addrs   map[netip.AddrPort]*net.UDPAddr
+	out     router.Output
 }
 
 const maxCachedAddrs = 1 << 16
@@ -40,7 +40,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error of an earlier send
+			continue // ICMP error of an earlier send
 		}
 		w.out.Reset()
 		w.plane.Received.Add(uint64(n))
@@ -80,7 +80,7 @@
 	w.plane.router.Handle(now, src, &d, &w.out)
 }
 
-// report passes the decisions on.
+// report passes the collected decisions to Config.Decided.
 func (w *worker) report() {
 	if w.plane.cfg.Decided == nil {
 		return
@@ -104,12 +104,12 @@
 func (w *worker) fill(acts []router.Action) {
 	for len(w.send) < len(acts) {
 		w.send = append(w.send, ipv4.Message{Buffers: make([][]byte, 2)})
-		w.heads = append(w.heads, make([]byte, 0, 64))
+		w.headers = append(w.headers, make([]byte, 0, 64))
 	}
 	for i := range acts {
 		a := &acts[i]
-		head, dst := w.encode(w.heads[i][:0], a)
-		w.heads[i] = head
+		head, dst := w.encode(w.headers[i][:0], a)
+		w.headers[i] = head
 		m := &w.send[i]
 		m.Buffers[0], m.Buffers[1] = head, a.Packet
 		m.Addr = w.addr(dst)
@@ -140,8 +140,8 @@
 	return a
 }
 
-// write sends ms; a datagram that fails is counted and skipped, so that one
-// bad destination does not hold up the others.
+// write sends ms. A datagram that cannot be sent is counted and skipped, so
+// that one bad destination does not delay the others.
 func (w *worker) write(ms []ipv4.Message) {
 	for len(ms) > 0 {
 		n, err := w.conn.WriteBatch(ms, 0)
