--- a/internal/router/spill.go
+++ b/internal/router/spill.go
@@ -8,26 +8,26 @@
 	"rosedale.dev/rosedale/internal/rendezvous"
 )
 
-// spill gives a new flow to another group when no target of this one can take
-// flows. Its answers come through that group's balancers; the caller's packets
-// go on to arrive here and are passed on by the home, which remembers only the
-// data centre. mu is held.
+// spill passes a new flow to another group when no target of this one can take
+// flows, and reports whether it did. Answers reach the caller through that
+// group's balancers. The caller's packets still arrive here and are passed on
+// by the home, which records only the data centre. mu is held.
 func (c *call) spill() bool {
 	dcs := c.v.Services[c.addr.Service].SpillTo
 	if len(dcs) == 0 || c.spilled {
-		return false // never on to a third group, nor back
+		return false // a spilled flow is passed on neither to a third group nor back
 	}
 	seeds := make([]uint64, len(dcs))
 	for i, dc := range dcs {
 		seeds[i] = rendezvous.Seed(dc)
 	}
 	e := flow.Entry{
-		Key:      c.key,
-		Seq:      c.seg.Seq,
-		State:    flow.Spilled,
-		Answered: dataCenterHash(dcs[rendezvous.First(c.flow, seeds)]),
+		Key:        c.key,
+		Seq:        c.seg.Seq,
+		State:      flow.Spilled,
+		LastAnswer: dataCenterHash(dcs[rendezvous.First(c.flowHash, seeds)]),
 	}
-	c.r.Note(FlowSpilled)
+	c.r.Increment(FlowSpilled)
 	c.passSpilled(e)
 	return true
 }
@@ -35,23 +35,23 @@
 // passSpilled sends a caller's packet to a balancer of the group that serves
 // its flow.
 func (c *call) passSpilled(e flow.Entry) {
-	e.Seen = tick(c.now)
+	e.LastPacket = tick(c.now)
 	if !c.r.store(e) {
-		c.r.Note(DropTableFull)
+		c.r.Increment(DropTableFull)
 		return
 	}
 	for dc, nodes := range c.v.Remotes {
-		if dataCenterHash(dc) != e.Answered || len(nodes) == 0 {
+		if dataCenterHash(dc) != e.LastAnswer || len(nodes) == 0 {
 			continue
 		}
-		n := &nodes[rendezvous.First(c.flow, nodeSeeds(nodes))]
+		n := &nodes[rendezvous.First(c.flowHash, nodeSeeds(nodes))]
 		hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1, Flags: geneve.FlagSpilled}
 		c.out.Actions = append(c.out.Actions, Action{
 			To: ToPeer, Peer: n.Data, VNI: c.addr.Service, Hop: hop, Packet: c.seg.Raw,
 		})
 		return
 	}
-	c.r.Note(DropUnknownFlow)
+	c.r.Increment(DropUnknownFlow)
 }
 
 func dataCenterHash(dc string) uint32 { return uint32(xxhash.Sum64String(dc)) }
