--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -40,7 +40,7 @@
 		return
 	}
 	c.alarmDue, c.alarmed = false, now
-	c.tell(now, slices.Concat(c.fleet.Near(), c.fleet.Speakers()))
+	c.tell(now, slices.Concat(c.fleet.Near(), c.fleet.Relays()))
 }
 
 // outcomesIfDue tells the balancers near by of a large data centre how requests
@@ -145,7 +145,7 @@
 	case c.ticks%wideTicks != 0:
 		return nil
 	case c.reader.Reading():
-		return slices.Concat(c.fleet.Near(), c.fleet.Speakers())
+		return slices.Concat(c.fleet.Near(), c.fleet.Relays())
 	case c.fleet.Rank() == 0:
 		return c.fleet.Near()
 	}
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -93,8 +93,8 @@
 	return f.far
 }
 
-// Speakers returns those that speak for the other data centres.
-func (f *Fleet) Speakers() []netip.AddrPort {
+// Relays returns those that speak for the other data centres.
+func (f *Fleet) Relays() []netip.AddrPort {
 	f.update()
 	return f.speakers
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -68,8 +68,8 @@
 		}
 	}
 	f := fleetOf(all[0], all...)
-	if f.Small() || len(f.Near()) != 19 || len(f.Far()) != 40 || len(f.Speakers()) != 4 {
-		t.Errorf("small %v, near %d, far %d, speakers %d", f.Small(), len(f.Near()), len(f.Far()), len(f.Speakers()))
+	if f.Small() || len(f.Near()) != 19 || len(f.Far()) != 40 || len(f.Relays()) != 4 {
+		t.Errorf("small %v, near %d, far %d, speakers %d", f.Small(), len(f.Near()), len(f.Far()), len(f.Relays()))
 	}
 	if f.Rank() != 1 {
 		t.Errorf("rank %d: a wide link comes first", f.Rank())
