--- a/internal/edge/read.go
+++ b/internal/edge/read.go
@@ -44,7 +44,7 @@
 	if !c.replica.Loaded() {
 		return c.first.MayList(now)
 	}
-	place := c.first.Place(now, replica.Place{Centre: c.fleet.Centre(), Rank: c.fleet.Rank()})
+	place := c.first.Place(now, replica.Place{Centre: c.fleet.DataCenterRank(), Rank: c.fleet.Rank()})
 	return c.reader.Decide(place, c.replica.Age(now), c.served(now))
 }
 
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -67,8 +67,8 @@
 	return f.rank
 }
 
-// Centre returns how many data centres come before the own one.
-func (f *Fleet) Centre() int {
+// DataCenterRank returns how many data centres come before the own one.
+func (f *Fleet) DataCenterRank() int {
 	f.update()
 	return f.centre
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,8 +39,8 @@
 		{all[3], 1, 1, []string{"a2", "b1", "a1"}},
 	} {
 		f := fleetOf(c.self, all...)
-		if f.Rank() != c.rank || f.Centre() != c.centre {
-			t.Errorf("%s: rank %d, centre %d", c.self.VM, f.Rank(), f.Centre())
+		if f.Rank() != c.rank || f.DataCenterRank() != c.centre {
+			t.Errorf("%s: rank %d, centre %d", c.self.VM, f.Rank(), f.DataCenterRank())
 		}
 		for _, m := range all {
 			want := strings.Contains(fmt.Sprint(c.before), m.VM)
@@ -55,7 +55,7 @@
 // itself and counts as the first.
 func TestUnregisteredIsFirst(t *testing.T) {
 	f := NewFleet(member("a1", "a", false))
-	if f.Rank() != 0 || f.Centre() != 0 || f.Before("x") || !f.Small() {
+	if f.Rank() != 0 || f.DataCenterRank() != 0 || f.Before("x") || !f.Small() {
 		t.Error("a lone balancer is not the first")
 	}
 }
