--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -99,7 +99,7 @@
 	want := c.fleet.Sources()
 	key := platform.SourcesPrefix + c.edge.boot.DataCenter
 	if i, ok := c.replica.Get(key); ok {
-		if have, err := peer.DecodeSources(i.Value); err == nil && have.Serves(want) {
+		if have, err := peer.DecodeSources(i.Value); err == nil && have.UpToDate(want) {
 			return
 		}
 	}
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -36,8 +36,8 @@
 	return s, nil
 }
 
-// Serves reports whether the record still does for a data centre whose sources are now.
-func (s Sources) Serves(now Sources) bool {
+// UpToDate reports whether the record still does for a data centre whose sources are now.
+func (s Sources) UpToDate(now Sources) bool {
 	off := max(s.Size-now.Size, now.Size-s.Size)
 	return slices.Equal(s.Balancers, now.Balancers) && off*sizeSlack <= now.Size
 }
--- a/internal/peer/sources_test.go
+++ b/internal/peer/sources_test.go
@@ -39,7 +39,7 @@
 		{Sources{[]netip.AddrPort{b, a}, 60}, false},
 		{Sources{}, false},
 	} {
-		if c.old.Serves(now) != c.does {
+		if c.old.UpToDate(now) != c.does {
 			t.Errorf("%v serves for %v: %v", c.old, now, !c.does)
 		}
 	}
