--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -96,7 +96,7 @@
 	if !c.replica.Loaded() || c.leaving || c.fleet.Rank() != 0 || now-c.sourcesTold < sourcesPause {
 		return
 	}
-	want := c.fleet.Sources()
+	want := c.fleet.BootstrapSources()
 	key := platform.SourcesPrefix + c.edge.boot.DataCenter
 	if i, ok := c.replica.Get(key); ok {
 		if have, err := peer.DecodeSources(i.Value); err == nil && have.UpToDate(want) {
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -105,8 +105,8 @@
 	return f.revision
 }
 
-// Sources returns the sources of the own data centre: the first ones in rank.
-func (f *Fleet) Sources() Sources {
+// BootstrapSources returns the sources of the own data centre: the first ones in rank.
+func (f *Fleet) BootstrapSources() Sources {
 	f.update()
 	all := slices.Insert(slices.Clone(f.near), f.rank, f.self.Control)
 	return Sources{Balancers: all[:min(len(all), MaxSources)], Size: len(all)}
--- a/internal/peer/sources_test.go
+++ b/internal/peer/sources_test.go
@@ -16,11 +16,11 @@
 	all = append(all, member("far", "y", true))
 	want := []netip.AddrPort{all[2].Control, all[4].Control, all[0].Control}
 	for _, self := range all[:5] {
-		if s := fleetOf(self, all...).Sources(); !slices.Equal(s.Balancers, want) || s.Size != 5 {
+		if s := fleetOf(self, all...).BootstrapSources(); !slices.Equal(s.Balancers, want) || s.Size != 5 {
 			t.Errorf("%s: sources %v of %d, want %v of 5", self.VM, s.Balancers, s.Size, want)
 		}
 	}
-	if s := NewFleet(all[0]).Sources(); len(s.Balancers) != 1 || s.Size != 1 {
+	if s := NewFleet(all[0]).BootstrapSources(); len(s.Balancers) != 1 || s.Size != 1 {
 		t.Errorf("alone: %v of %d", s.Balancers, s.Size)
 	}
 }
