--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -26,7 +26,7 @@
 // lookUpSources asks the store who hands out copies in this data centre, and has the
 // first copy taken from there or from the store. It runs on a goroutine of its own.
 func (c *control) lookUpSources(ctx context.Context) {
-	var s peer.Sources
+	var s peer.BootstrapSources
 	var err error
 	if !c.edge.without.Has(direct.StartSources) {
 		s, err = c.readSources(ctx)
@@ -49,10 +49,10 @@
 	})
 }
 
-func (c *control) readSources(ctx context.Context) (peer.Sources, error) {
+func (c *control) readSources(ctx context.Context) (peer.BootstrapSources, error) {
 	b, err := c.store.Hint(ctx, platform.SourcesPrefix+c.edge.boot.DataCenter)
 	if err != nil {
-		return peer.Sources{}, err
+		return peer.BootstrapSources{}, err
 	}
 	return peer.DecodeSources(b)
 }
@@ -113,7 +113,7 @@
 	}()
 }
 
-func (c *control) writeSources(ctx context.Context, key string, s peer.Sources) error {
+func (c *control) writeSources(ctx context.Context, key string, s peer.BootstrapSources) error {
 	b, err := peer.Encode(s)
 	if err != nil {
 		return err
--- a/internal/edge/sources_test.go
+++ b/internal/edge/sources_test.go
@@ -18,7 +18,7 @@
 // tellSources writes the sources as the first balancer in rank does after a while.
 func (d *deployment) tellSources(size int, sources ...*running) {
 	d.t.Helper()
-	s := peer.Sources{Size: size}
+	s := peer.BootstrapSources{Size: size}
 	for _, b := range sources {
 		s.Balancers = append(s.Balancers, b.boot.Control)
 	}
@@ -101,7 +101,7 @@
 func TestSourcesAreTold(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
-	read := func() (peer.Sources, error) {
+	read := func() (peer.BootstrapSources, error) {
 		return peer.DecodeSources(d.store.Value(platform.SourcesPrefix + "a"))
 	}
 	d.eventually(sourcesPause+3*time.Second, "sources are told", func() bool {
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -106,10 +106,10 @@
 }
 
 // BootstrapSources returns the sources of the own data centre: the first ones in rank.
-func (f *Fleet) BootstrapSources() Sources {
+func (f *Fleet) BootstrapSources() BootstrapSources {
 	f.update()
 	all := slices.Insert(slices.Clone(f.near), f.rank, f.self.Control)
-	return Sources{Balancers: all[:min(len(all), MaxSources)], Size: len(all)}
+	return BootstrapSources{Balancers: all[:min(len(all), MaxSources)], Size: len(all)}
 }
 
 // update derives all lists from the registrations if these have changed. A
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -16,28 +16,28 @@
 // that is worth a write to the store.
 const sizeSlack = 4
 
-// Sources names the balancers of a data centre from which one that starts takes its
+// BootstrapSources names the balancers of a data centre from which one that starts takes its
 // first copy of the store. It lies in the store, as a balancer that starts knows no
 // other one.
-type Sources struct {
+type BootstrapSources struct {
 	Balancers []netip.AddrPort `cbor:"1,keyasint"` // control addresses, best first
 	Size      int              `cbor:"2,keyasint"` // balancers of the data centre
 }
 
 // DecodeSources decodes a record of the store.
-func DecodeSources(b []byte) (Sources, error) {
-	var s Sources
+func DecodeSources(b []byte) (BootstrapSources, error) {
+	var s BootstrapSources
 	if err := Decode(b, &s); err != nil {
-		return Sources{}, err
+		return BootstrapSources{}, err
 	}
 	if len(s.Balancers) == 0 || s.Size < 1 || slices.ContainsFunc(s.Balancers, func(a netip.AddrPort) bool { return !a.IsValid() }) {
-		return Sources{}, errors.Errorf("peer: sources %v of %d balancers are not usable", s.Balancers, s.Size)
+		return BootstrapSources{}, errors.Errorf("peer: sources %v of %d balancers are not usable", s.Balancers, s.Size)
 	}
 	return s, nil
 }
 
 // UpToDate reports whether the record still does for a data centre whose sources are now.
-func (s Sources) UpToDate(now Sources) bool {
+func (s BootstrapSources) UpToDate(now BootstrapSources) bool {
 	off := max(s.Size-now.Size, now.Size-s.Size)
 	return slices.Equal(s.Balancers, now.Balancers) && off*sizeSlack <= now.Size
 }
--- a/internal/peer/sources_test.go
+++ b/internal/peer/sources_test.go
@@ -27,17 +27,17 @@
 
 func TestSourcesAreWrittenOnlyIfTheyChange(t *testing.T) {
 	a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
-	now := Sources{[]netip.AddrPort{a, b}, 60}
+	now := BootstrapSources{[]netip.AddrPort{a, b}, 60}
 	for _, c := range []struct {
-		old  Sources
+		old  BootstrapSources
 		does bool
 	}{
 		{now, true},
-		{Sources{[]netip.AddrPort{a, b}, 50}, true},
-		{Sources{[]netip.AddrPort{a, b}, 30}, false},
-		{Sources{[]netip.AddrPort{a, b}, 90}, false},
-		{Sources{[]netip.AddrPort{b, a}, 60}, false},
-		{Sources{}, false},
+		{BootstrapSources{[]netip.AddrPort{a, b}, 50}, true},
+		{BootstrapSources{[]netip.AddrPort{a, b}, 30}, false},
+		{BootstrapSources{[]netip.AddrPort{a, b}, 90}, false},
+		{BootstrapSources{[]netip.AddrPort{b, a}, 60}, false},
+		{BootstrapSources{}, false},
 	} {
 		if c.old.UpToDate(now) != c.does {
 			t.Errorf("%v serves for %v: %v", c.old, now, !c.does)
@@ -48,14 +48,14 @@
 // Another program wrote the record: a balancer that starts must not wait for sources
 // that do not exist.
 func TestUnusableSources(t *testing.T) {
-	good, err := Encode(Sources{[]netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}, 1})
+	good, err := Encode(BootstrapSources{[]netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}, 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := DecodeSources(good); err != nil {
 		t.Error(err)
 	}
-	for _, bad := range []Sources{{}, {Balancers: []netip.AddrPort{{}}, Size: 1}, {Balancers: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}}} {
+	for _, bad := range []BootstrapSources{{}, {Balancers: []netip.AddrPort{{}}, Size: 1}, {Balancers: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}}} {
 		b, err := Encode(bad)
 		if err != nil {
 			t.Fatal(err)
