--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return peer.BootstrapSources{}, err
 	}
-	return peer.DecodeSources(b)
+	return peer.DecodeBootstrapSources(b)
 }
 
 // askSources asks one source after the other for its copy until there is one here.
@@ -99,7 +99,7 @@
 	want := c.fleet.BootstrapSources()
 	key := platform.SourcesPrefix + c.edge.boot.DataCenter
 	if i, ok := c.replica.Get(key); ok {
-		if have, err := peer.DecodeSources(i.Value); err == nil && have.UpToDate(want) {
+		if have, err := peer.DecodeBootstrapSources(i.Value); err == nil && have.UpToDate(want) {
 			return
 		}
 	}
--- a/internal/edge/sources_test.go
+++ b/internal/edge/sources_test.go
@@ -102,7 +102,7 @@
 	t.Parallel()
 	d := deploy(t, 3)
 	read := func() (peer.BootstrapSources, error) {
-		return peer.DecodeSources(d.store.Value(platform.SourcesPrefix + "a"))
+		return peer.DecodeBootstrapSources(d.store.Value(platform.SourcesPrefix + "a"))
 	}
 	d.eventually(sourcesPause+3*time.Second, "sources are told", func() bool {
 		s, err := read()
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -24,8 +24,8 @@
 	Size      int              `cbor:"2,keyasint"` // balancers of the data centre
 }
 
-// DecodeSources decodes a record of the store.
-func DecodeSources(b []byte) (BootstrapSources, error) {
+// DecodeBootstrapSources decodes a record of the store.
+func DecodeBootstrapSources(b []byte) (BootstrapSources, error) {
 	var s BootstrapSources
 	if err := Decode(b, &s); err != nil {
 		return BootstrapSources{}, err
--- a/internal/peer/sources_test.go
+++ b/internal/peer/sources_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := DecodeSources(good); err != nil {
+	if _, err := DecodeBootstrapSources(good); err != nil {
 		t.Error(err)
 	}
 	for _, bad := range []BootstrapSources{{}, {Balancers: []netip.AddrPort{{}}, Size: 1}, {Balancers: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}}} {
@@ -60,11 +60,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s, err := DecodeSources(b); err == nil {
+		if s, err := DecodeBootstrapSources(b); err == nil {
 			t.Errorf("%v is taken", s)
 		}
 	}
-	if _, err := DecodeSources([]byte("no CBOR")); err == nil {
+	if _, err := DecodeBootstrapSources([]byte("no CBOR")); err == nil {
 		t.Error("rubbish is taken")
 	}
 }
