--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// Small is the number of balancers up to which all of them exchange
-	// heartbeats. In larger fleets a data centre's readers speak for it: 7
-	// balancers cost one another 60 heartbeats a second each, 85 would cost 800.
-	Small = 16
-	// speakers are the first balancers in rank of a data centre, which hear
-	// from the others.
-	speakers = 2
+	// SmallFleet is the largest number of balancers among which each sends
+	// heartbeats to every other. In larger fleets only the relays of a data
+	// centre exchange heartbeats with other data centres: each of 7 balancers
+	// handles 60 heartbeats a second, each of 85 would handle 800.
+	SmallFleet = 16
+	// relaysPerDataCenter is the number of balancers, the first in rank of their
+	// data centre, that receive heartbeats from other data centres.
+	relaysPerDataCenter = 2
 )
 
-// Fleet is the registered balancers as one of them sees them. It is pure, and
-// not safe for concurrent use.
+// Fleet holds the registered balancers and the ranks and lists that one of them
+// derives from their registrations. It does no I/O and is not safe for
+// concurrent use.
 type Fleet struct {
-	self     Member
-	members  map[string]Member // by the key of their registration
-	stale    bool              // the lists below lack a change
-	revision int               // counts changes of the lists
-	order    map[string]int    // by name; see update
-	rank     int               // members of the own data centre that come first
-	centre   int               // data centres that come first
-	near     []netip.AddrPort  // the others of the own data centre
-	far      []netip.AddrPort  // all others
-	speakers []netip.AddrPort  // the first of each other data centre
-}
-
-// NewFleet returns a fleet of self alone.
+	self           Member
+	members        map[string]Member // by key of the registration
+	stale          bool              // members changed since the last update
+	revision       int               // incremented by each update
+	globalRank     map[string]int    // by VM; see globalRanks
+	rank           int               // members of the own data centre that rank before self
+	dataCenterRank int               // data centres that rank before the own one
+	near           []netip.AddrPort  // other members of the own data centre
+	far            []netip.AddrPort  // members of all other data centres
+	relays         []netip.AddrPort  // first members in rank of each other data centre
+}
+
+// NewFleet returns a fleet that contains only self.
 func NewFleet(self Member) *Fleet {
 	return &Fleet{self: self, members: map[string]Member{}}
 }
 
-// Put takes a registration.
+// Put adds or replaces the registration under key.
 func (f *Fleet) Put(key string, m Member) {
 	f.members[key] = m
 	f.stale = true
 }
 
-// Remove takes the end of a registration.
+// Remove deletes the registration under key.
 func (f *Fleet) Remove(key string) {
 	delete(f.members, key)
 	f.stale = true
@@ -58,62 +60,64 @@
 // Members returns all registered balancers.
 func (f *Fleet) Members() []Member { return slices.Collect(maps.Values(f.members)) }
 
-// Small reports whether all balancers exchange heartbeats.
-func (f *Fleet) Small() bool { return len(f.members) <= Small }
+// Small reports whether every balancer exchanges heartbeats with every other.
+func (f *Fleet) Small() bool { return len(f.members) <= SmallFleet }
 
-// Rank returns how many balancers of the own data centre come before this one.
+// Rank returns how many balancers of the own data centre rank before this one.
 func (f *Fleet) Rank() int {
 	f.update()
 	return f.rank
 }
 
-// DataCenterRank returns how many data centres come before the own one.
+// DataCenterRank returns how many data centres rank before the own one.
 func (f *Fleet) DataCenterRank() int {
 	f.update()
-	return f.centre
+	return f.dataCenterRank
 }
 
-// Before reports whether a balancer, by its name, comes before this one among
-// all: the first of each data centre come first, then the second ones.
+// Before reports whether the balancer named vm ranks before this one in the whole
+// fleet. The first balancer of every data centre ranks before the second of any.
 func (f *Fleet) Before(vm string) bool {
 	f.update()
-	n, ok := f.order[vm]
-	return ok && n < f.order[f.self.VM]
+	n, ok := f.globalRank[vm]
+	return ok && n < f.globalRank[f.self.VM]
 }
 
-// Near returns the control addresses of the others of the own data centre.
+// Near returns the control addresses of the other balancers of the own data centre.
 func (f *Fleet) Near() []netip.AddrPort {
 	f.update()
 	return f.near
 }
 
-// Far returns those of all other data centres.
+// Far returns the control addresses of the balancers of all other data centres.
 func (f *Fleet) Far() []netip.AddrPort {
 	f.update()
 	return f.far
 }
 
-// Relays returns those that speak for the other data centres.
+// Relays returns the control addresses of the relays of the other data centres.
 func (f *Fleet) Relays() []netip.AddrPort {
 	f.update()
-	return f.speakers
+	return f.relays
 }
 
-// Revision changes whenever the lists of balancers do.
+// Revision returns a number that changes whenever the lists of balancers change.
 func (f *Fleet) Revision() int {
 	f.update()
 	return f.revision
 }
 
-// BootstrapSources returns the sources of the own data centre: the first ones in rank.
+// BootstrapSources returns the bootstrap sources of the own data centre: its first
+// balancers in rank.
 func (f *Fleet) BootstrapSources() BootstrapSources {
 	f.update()
 	all := slices.Insert(slices.Clone(f.near), f.rank, f.self.Control)
-	return BootstrapSources{Balancers: all[:min(len(all), MaxSources)], Size: len(all)}
+	return BootstrapSources{Balancers: all[:min(len(all), MaxBootstrapSources)], Size: len(all)}
 }
 
-// update derives all lists from the registrations if these have changed. A
-// listing brings hundreds of them, whose order is only needed in the end.
+// update derives all lists from the registrations if these have changed. It runs
+// on the first read rather than on each Put, as a listing of the store adds
+// hundreds of registrations in a row.
 func (f *Fleet) update() {
 	if !f.stale {
 		return
@@ -126,9 +130,9 @@
 			all = append(all, m)
 		}
 	}
-	slices.SortFunc(all, compare)
-	ranks := rank(all)
-	f.near, f.far, f.speakers = nil, nil, nil
+	slices.SortFunc(all, compareMembers)
+	ranks := localRanks(all)
+	f.near, f.far, f.relays = nil, nil, nil
 	centres := map[string]bool{}
 	for _, m := range all {
 		switch {
@@ -139,22 +143,22 @@
 		default:
 			f.far = append(f.far, m.Control)
 			centres[m.DataCenter] = centres[m.DataCenter] || m.DataCenter < f.self.DataCenter
-			if ranks[m.VM] < speakers {
-				f.speakers = append(f.speakers, m.Control)
+			if ranks[m.VM] < relaysPerDataCenter {
+				f.relays = append(f.relays, m.Control)
 			}
 		}
 	}
-	f.centre = 0
+	f.dataCenterRank = 0
 	for _, first := range centres {
 		if first {
-			f.centre++
+			f.dataCenterRank++
 		}
 	}
-	f.order = order(all, ranks)
+	f.globalRank = globalRanks(all, ranks)
 }
 
-// rank returns each member's place in its data centre.
-func rank(sorted []Member) map[string]int {
+// localRanks returns the rank of each member in its data centre, by VM.
+func localRanks(sorted []Member) map[string]int {
 	out := make(map[string]int, len(sorted))
 	next := map[string]int{}
 	for _, m := range sorted {
@@ -164,8 +168,8 @@
 	return out
 }
 
-// order returns each member's place among all.
-func order(all []Member, ranks map[string]int) map[string]int {
+// globalRanks returns the rank of each member in the whole fleet, by VM.
+func globalRanks(all []Member, ranks map[string]int) map[string]int {
 	byRank := slices.Clone(all)
 	slices.SortFunc(byRank, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(ranks[a.VM], ranks[b.VM]), cmp.Compare(a.DataCenter, b.DataCenter))
@@ -177,7 +181,7 @@
 	return out
 }
 
-func compare(a, b Member) int {
+func compareMembers(a, b Member) int {
 	switch {
 	case a.before(b):
 		return -1
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -6,20 +6,22 @@
 	"github.com/pkg/errors"
 )
 
-// Member is a balancer as it registers itself in the store.
+// Member is the record with which a balancer registers itself in the store.
 type Member struct {
 	VM         string         `cbor:"1,keyasint"`
 	DataCenter string         `cbor:"2,keyasint"`
 	Control    netip.AddrPort `cbor:"3,keyasint"`
-	// Wide tells that the VM's link carries a whole data centre's reading.
+	// Wide is set if the VM's link has the bandwidth to read the store for a whole
+	// data centre.
 	Wide bool `cbor:"4,keyasint,omitempty"`
-	// Lease keeps the registration. A balancer that starts again goes on with
-	// it, which costs a tenth of a call instead of two.
+	// Lease is the store's ID of the lease of the registration. A restarted
+	// balancer reuses it, which costs a tenth of a store call instead of two.
 	Lease int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// DecodeMember decodes a registration. One that another program wrote may lack what
-// every balancer has.
+// DecodeMember decodes a registration. It returns an error if the name, the data
+// centre or the control address is missing, as other programs can write the record
+// too.
 func DecodeMember(b []byte) (Member, error) {
 	var m Member
 	if err := Decode(b, &m); err != nil {
@@ -31,8 +33,8 @@
 	return m, nil
 }
 
-// before ranks the members of a data centre alike everywhere: those with a wide
-// link come first, as the first ones read the store for the others.
+// before is the order of rank in a data centre, the same at every balancer. Members
+// with a wide link come first, because the first ones read the store for the others.
 func (m Member) before(o Member) bool {
 	if m.Wide != o.Wide {
 		return m.Wide
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,6 +1,7 @@
-// Package peer carries what balancers tell one another: heartbeats with their
-// copy's position, loads and findings as single datagrams, and changes of the
-// copy over HTTP.
+// Package peer defines the messages between balancers and the ranking of balancers
+// in a fleet. Heartbeats, each a single datagram, carry the replica position, the
+// loads of targets and the results of checks; changes of the replica travel over
+// HTTP.
 package peer
 
 import (
@@ -16,61 +17,63 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// Bounds of a heartbeat, which is one datagram on any link.
+// Limits of a heartbeat, which has to fit one datagram on any link.
 const (
-	// MaxMessage is its length in bytes.
+	// MaxMessage is the maximum length of an encoded heartbeat in bytes.
 	MaxMessage = 1200
-	// MaxUses is the number of targets whose loads it holds.
+	// MaxUses is the maximum number of targets whose loads it carries.
 	MaxUses = 50
-	// MaxSuspected is the number of suspected targets that it holds.
+	// MaxSuspected is the maximum number of suspected targets.
 	MaxSuspected = 40
-	// MaxOutcomes is the number of failing targets that it holds.
+	// MaxOutcomes is the maximum number of targets with request outcomes.
 	MaxOutcomes = 16
 )
 
-// Heartbeat says what a balancer knows and what its flows hold.
+// Heartbeat carries a balancer's replica position, the loads that its flows put on
+// targets, and its findings about targets.
 type Heartbeat struct {
 	From       string         `cbor:"1,keyasint"`
 	DataCenter string         `cbor:"2,keyasint"`
 	Control    netip.AddrPort `cbor:"3,keyasint"`
-	// Position is the revision up to which the sender's copy is complete, and
-	// Age how long ago that was known to be current.
+	// Position is the number of the revision up to which the sender's replica is
+	// complete. Age is the time since the sender last knew that to be current.
 	Position int64         `cbor:"4,keyasint"`
 	Age      time.Duration `cbor:"5,keyasint"`
-	// LastChange is the revision of the last change that matters: a copy that
-	// has it needs nothing from the sender.
+	// LastChange is the revision of the last change that affected the replica. A
+	// peer that has it needs no changes from the sender.
 	LastChange int64 `cbor:"6,keyasint"`
-	// Reading says that the sender itself reads the store with success.
+	// Reading is set if the sender itself reads the store successfully.
 	Reading bool        `cbor:"7,keyasint"`
 	Loads   []TargetUse `cbor:"8,keyasint,omitempty"`
-	// Suspected are targets that failed the sender's last check of them.
+	// Suspected lists the targets that failed the sender's last check.
 	Suspected []uint64 `cbor:"9,keyasint,omitempty"`
 	Version   int64    `cbor:"10,keyasint"` // of the catalogue in force
-	// Leaving says that the sender stops and its flows move to others.
+	// Leaving is set while the sender shuts down and hands over its flows.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
-	// Outcomes are of the sender's requests at targets that failed some.
+	// Outcomes are the results of the sender's recent requests, for targets that
+	// failed some of them.
 	Outcomes []TargetOutcome `cbor:"12,keyasint,omitempty"`
-	// History is the revision after which the sender knows all changes that
-	// mattered. Balancers of the first version leave it out, and know all.
+	// History is the revision after which the sender has kept all changes that
+	// affected the replica. Balancers of the first version omit it and keep all.
 	History int64 `cbor:"13,keyasint,omitempty"`
-	// Dead are those of Suspected, by their places there, that the sender's checks
-	// found dead while its callers waited for them.
+	// Dead lists the indexes in Suspected of the targets that the sender's checks
+	// found dead while its callers were waiting for them.
 	Dead []int `cbor:"14,keyasint,omitempty"`
-	// Era is that of the store to which all revisions here belong. Balancers of earlier
-	// versions leave it out.
+	// Era is the era of the store to which all revisions in this message belong.
+	// Balancers of earlier versions omit it.
 	Era int64 `cbor:"15,keyasint,omitempty"`
-	// Settling is for how long the sender still expects that the store, back from an older
-	// copy, lacks what was written since.
+	// Settling is the remaining part of the grace period after the store was restored
+	// from an older copy, in which entries written after that copy may be missing.
 	Settling time.Duration `cbor:"16,keyasint,omitempty"`
 }
 
-// Revision returns the one up to which the sender's copy is complete.
+// Revision returns the revision up to which the sender's replica is complete.
 func (h Heartbeat) Revision() revision.Revision {
 	return revision.Revision{Era: h.Era, Number: h.Position}
 }
 
-// TargetUse is what the sender's flows hold at a target, as an array to keep
-// heartbeats short.
+// TargetUse is the number of the sender's flows and in-flight requests at a target.
+// It is encoded as an array to keep heartbeats short.
 type TargetUse struct {
 	_     struct{} `cbor:",toarray"`
 	ID    uint64
@@ -78,8 +81,8 @@
 	Busy  int
 }
 
-// TargetOutcome is how the sender's recent requests to a target ended, in tenths
-// of a request.
+// TargetOutcome counts the sender's recent successful and failed requests to a
+// target, in tenths of a request.
 type TargetOutcome struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
@@ -87,35 +90,35 @@
 	Bad  int
 }
 
-// tenths of a request make the unit of TargetOutcome.
-const tenths = 10
+// outcomeScale is the number of units of a TargetOutcome in one request.
+const outcomeScale = 10
 
-// TargetOutcomes converts outcomes for a heartbeat, the worst ones if there are
-// too many.
+// TargetOutcomes converts outcomes for a heartbeat. If there are more than
+// MaxOutcomes, it takes the targets with the most failures.
 func TargetOutcomes(outcomes map[direct.TargetID]direct.Outcome) []TargetOutcome {
 	out := make([]TargetOutcome, 0, len(outcomes))
 	for id, o := range outcomes {
-		out = append(out, TargetOutcome{ID: uint64(id), Good: int(o.Good * tenths), Bad: int(o.Bad * tenths)})
+		out = append(out, TargetOutcome{ID: uint64(id), Good: int(o.Good * outcomeScale), Bad: int(o.Bad * outcomeScale)})
 	}
 	slices.SortFunc(out, func(a, b TargetOutcome) int { return cmp.Or(b.Bad-a.Bad, cmp.Compare(a.ID, b.ID)) })
 	return out[:min(len(out), MaxOutcomes)]
 }
 
-// Outcome converts it back.
+// Outcome converts t back to an outcome in requests.
 func (t TargetOutcome) Outcome() direct.Outcome {
-	return direct.Outcome{Good: float64(t.Good) / tenths, Bad: float64(t.Bad) / tenths}
+	return direct.Outcome{Good: float64(t.Good) / outcomeScale, Bad: float64(t.Bad) / outcomeScale}
 }
 
-// Changes answers a balancer that lags.
+// Changes is the answer to a balancer whose replica is behind.
 type Changes struct {
-	Full     bool          `cbor:"1,keyasint"` // all items rather than changes
+	Full     bool          `cbor:"1,keyasint"` // Packed holds the whole replica rather than changes
 	Packed   []byte        `cbor:"2,keyasint"` // items; see Pack
 	Position int64         `cbor:"3,keyasint"`
 	Age      time.Duration `cbor:"4,keyasint"`
-	Era      int64         `cbor:"5,keyasint,omitempty"` // of the store, for all revisions here
+	Era      int64         `cbor:"5,keyasint,omitempty"` // era of the store of all revisions in this message
 }
 
-// Revision returns the one up to which the changes complete a copy.
+// Revision returns the revision up to which a replica is complete after the changes.
 func (c *Changes) Revision() revision.Revision {
 	return revision.Revision{Era: c.Era, Number: c.Position}
 }
@@ -131,8 +134,8 @@
 	return errors.Wrap(cbor.Unmarshal(b, into), "peer: decode")
 }
 
-// Uses converts loads for a heartbeat. More than fit are left out altogether:
-// targets missing from a part of them would look idle to others.
+// Uses converts loads for a heartbeat. It returns nil if there are more than
+// MaxUses, because targets missing from a partial list would look idle to peers.
 func Uses(loads map[direct.TargetID]direct.Load) []TargetUse {
 	if len(loads) > MaxUses {
 		return nil
--- a/internal/peer/pack.go
+++ b/internal/peer/pack.go
@@ -11,16 +11,14 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// maxUnpacked bounds unpacked items in bytes: a catalogue of 1 MB and the
-// registrations of 6,400 targets and 600 balancers, with room.
+// maxUnpacked limits unpacked items, in bytes. A catalogue of 1 MB with the
+// registrations of 6,400 targets and 600 balancers fits well within it.
 const maxUnpacked = 32 << 20
 
-// Pack encodes and compresses items.
-//
-// Failure: a catalogue of 1,840 routes, 280 KB, is copied to the 24 balancers
-// of a data centre over one reader's link of 10 Mbit/s, which takes 5 s. It shows
-// as packets of flows that wait behind it. Packed it is 15 KB
-// (TestLargeCatalogueShrinks).
+// Pack encodes and compresses items. Uncompressed, a catalogue of 1,840 routes has
+// 280 KB; copying it to the 24 balancers of a data centre takes 5 s on a reader's
+// link of 10 Mbit/s, and packets of flows queue behind it. Compressed, it has 15 KB
+// (TestLargeCatalogueIsCompressed).
 func Pack(items []replica.Item) ([]byte, error) {
 	b, err := Encode(items)
 	if err != nil {
@@ -40,7 +38,7 @@
 	return out.Bytes(), nil
 }
 
-// Unpack reverses Pack.
+// Unpack decompresses and decodes items packed by Pack.
 func Unpack(b []byte) ([]replica.Item, error) {
 	r := flate.NewReader(bytes.NewReader(b))
 	plain, err := io.ReadAll(io.LimitReader(r, maxUnpacked))
@@ -51,13 +49,15 @@
 	return items, Decode(plain, &items)
 }
 
-// Packer packs the same items once, however many balancers ask for them.
+// Packer caches the last packed items, so that items that many balancers request are
+// packed once.
 type Packer struct {
 	key    packKey
 	packed []byte
 }
 
-// packKey tells two lists of changes apart: both end at the last change.
+// packKey identifies packed items. The last revision alone does not, as lists of
+// changes of different length end with the same one.
 type packKey struct {
 	full  bool
 	items int
@@ -65,7 +65,8 @@
 	last  revision.Revision
 }
 
-// Pack is like the function of that name.
+// Pack returns the packed items, from the cache if they are those of the last call.
+// last is the revision of the last change.
 func (p *Packer) Pack(full bool, items []replica.Item, last revision.Revision) ([]byte, error) {
 	k := packKey{full: full, items: len(items), last: last}
 	if len(items) > 0 {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 	return Member{VM: vm, DataCenter: centre, Control: netip.MustParseAddrPort("10.0.0.1:1"), Wide: wide}
 }
 
-// fleetOf returns the fleet as self sees it.
+// fleetOf returns the fleet of self with all registered.
 func fleetOf(self Member, all ...Member) *Fleet {
 	f := NewFleet(self)
 	for _, m := range all {
@@ -29,9 +29,9 @@
 func TestRanks(t *testing.T) {
 	all := []Member{member("a1", "a", false), member("a2", "a", true), member("b1", "b", false), member("b2", "b", false)}
 	for _, c := range []struct {
-		self         Member
-		rank, centre int
-		before       []string // who comes before
+		self                 Member
+		rank, dataCenterRank int
+		before               []string // members that rank before self
 	}{
 		{all[1], 0, 0, nil},
 		{all[2], 0, 1, []string{"a2"}},
@@ -39,28 +39,28 @@
 		{all[3], 1, 1, []string{"a2", "b1", "a1"}},
 	} {
 		f := fleetOf(c.self, all...)
-		if f.Rank() != c.rank || f.DataCenterRank() != c.centre {
-			t.Errorf("%s: rank %d, centre %d", c.self.VM, f.Rank(), f.DataCenterRank())
+		if f.Rank() != c.rank || f.DataCenterRank() != c.dataCenterRank {
+			t.Errorf("%s: rank %d, data centre rank %d", c.self.VM, f.Rank(), f.DataCenterRank())
 		}
 		for _, m := range all {
 			want := strings.Contains(fmt.Sprint(c.before), m.VM)
 			if f.Before(m.VM) != want {
-				t.Errorf("%s: before %s is %v", c.self.VM, m.VM, f.Before(m.VM))
+				t.Errorf("%s: Before(%s) is %v", c.self.VM, m.VM, f.Before(m.VM))
 			}
 		}
 	}
 }
 
-// A balancer that is not registered yet, as the store turns it away, reads for
-// itself and counts as the first.
-func TestUnregisteredIsFirst(t *testing.T) {
+// A balancer whose registration the store has not accepted must rank first, so that
+// it reads the store for itself.
+func TestUnregisteredBalancerRanksFirst(t *testing.T) {
 	f := NewFleet(member("a1", "a", false))
 	if f.Rank() != 0 || f.DataCenterRank() != 0 || f.Before("x") || !f.Small() {
-		t.Error("a lone balancer is not the first")
+		t.Error("a single balancer does not rank first")
 	}
 }
 
-func TestSpeakersOfLargeFleet(t *testing.T) {
+func TestRelaysOfLargeFleet(t *testing.T) {
 	var all []Member
 	for _, c := range []string{"a", "b", "c"} {
 		for i := range 20 {
@@ -69,14 +69,14 @@
 	}
 	f := fleetOf(all[0], all...)
 	if f.Small() || len(f.Near()) != 19 || len(f.Far()) != 40 || len(f.Relays()) != 4 {
-		t.Errorf("small %v, near %d, far %d, speakers %d", f.Small(), len(f.Near()), len(f.Far()), len(f.Relays()))
+		t.Errorf("small %v, near %d, far %d, relays %d", f.Small(), len(f.Near()), len(f.Far()), len(f.Relays()))
 	}
 	if f.Rank() != 1 {
-		t.Errorf("rank %d: a wide link comes first", f.Rank())
+		t.Errorf("rank %d, want 1 after the member with the wide link", f.Rank())
 	}
 	f.Remove("vm/a19")
 	if f.Rank() != 0 {
-		t.Errorf("rank %d after the first left", f.Rank())
+		t.Errorf("rank %d after the first in rank was removed", f.Rank())
 	}
 }
 
@@ -95,11 +95,11 @@
 		t.Fatal(err)
 	}
 	if len(b) > MaxMessage {
-		t.Errorf("heartbeat of %d bytes, at most %d", len(b), MaxMessage)
+		t.Errorf("heartbeat of %d bytes, want at most %d", len(b), MaxMessage)
 	}
 	loads[1] = direct.Load{Flows: 1}
 	if Uses(loads) != nil {
-		t.Error("a part of the loads is told")
+		t.Error("loads beyond MaxUses: want none, got a partial list")
 	}
 	var back Heartbeat
 	if err := Decode(b, &back); err != nil || !reflect.DeepEqual(h, back) {
@@ -107,9 +107,9 @@
 	}
 }
 
-// A large catalogue must not choke a reader's narrow link when a whole data
-// centre fetches it.
-func TestLargeCatalogueShrinks(t *testing.T) {
+// Guards against congesting a reader's narrow link when all balancers of a data
+// centre fetch a large catalogue.
+func TestLargeCatalogueIsCompressed(t *testing.T) {
 	var b strings.Builder
 	for i := range 1840 {
 		fmt.Fprintf(&b, `{"name":"r-a3h%04d","host":"198.18.%d.%d","prefix":"/8443/","type":"safe","timeoutMs":2500,"goalMs":150,"priority":2,"service":"huvo11a","maxAttempts":2},`, i*7919%10000, i/250, i%250)
@@ -121,14 +121,14 @@
 	}
 	t.Logf("%d bytes packed to %d", b.Len(), len(packed))
 	if len(packed) > b.Len()/8 {
-		t.Errorf("%d bytes packed to %d only", b.Len(), len(packed))
+		t.Errorf("%d bytes packed to %d, want at most an eighth", b.Len(), len(packed))
 	}
 	back, err := Unpack(packed)
 	if err != nil || !reflect.DeepEqual(back, items) {
-		t.Errorf("unpacked differs: %v", err)
+		t.Errorf("unpacked items differ: %v", err)
 	}
 	if _, err := Unpack(packed[:len(packed)/2]); err == nil {
-		t.Error("half a message was accepted")
+		t.Error("a truncated message was accepted")
 	}
 }
 
@@ -148,7 +148,7 @@
 	later := []replica.Item{{Key: "a", Value: []byte("2"), Revision: 1}}
 	z, _ = p.Pack(true, later, revision.Revision{Era: 2, Number: 1})
 	if back, _ := Unpack(z); string(back[0].Value) != "2" {
-		t.Error("a revision that an earlier era gave out brought that era's item")
+		t.Error("the cache returned the item of an earlier era with the same revision number")
 	}
 }
 
@@ -176,8 +176,8 @@
 	}
 }
 
-// A heartbeat tells of the targets that fail most, and what a balancer takes from
-// it is what the sender counted.
+// A heartbeat carries the targets with the most failures, and the receiver decodes
+// the sender's counts.
 func TestOutcomesOfAHeartbeat(t *testing.T) {
 	sent := map[direct.TargetID]direct.Outcome{}
 	for i := range 2 * MaxOutcomes {
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -1,19 +1,20 @@
 package peer
 
-// Presence is a registered balancer, and whether the one that counts hears it.
+// Presence tells whether this balancer receives heartbeats from a registered one.
 type Presence struct {
 	DataCenter string
 	Alive      bool
 }
 
-// Outnumbered reports whether most balancers of a data centre are gone while
-// another data centre has most of its own.
+// Outnumbered reports whether more than half of the balancers of data centre own are
+// lost while another data centre has at least half of its own. The remaining
+// balancers then report that they are not ready.
 //
-// Failure: two of a data centre's three balancers lose power. Routers that find
-// fewer than half ready take the readiness answers for wrong and use all, also the
-// dead ones, so that two of three packets are lost for as long as the outage
-// lasts. With none ready they use another data centre's, which can serve.
-// A balancer that hears nobody is cut off itself and stays.
+// Without this, if two of three balancers lose power, two of three packets are lost
+// until they are back: routers that find fewer than half of the balancers ready
+// distrust the readiness answers and use all, including the dead ones. If none is
+// ready, they use another data centre. A balancer that receives no heartbeats at all
+// is cut off itself and stays ready.
 func Outnumbered(own string, all []Presence) bool {
 	registered, alive := map[string]int{}, map[string]int{}
 	for _, p := range all {
@@ -22,16 +23,17 @@
 			alive[p.DataCenter]++
 		}
 	}
-	if most(alive[own], registered[own]) {
+	if atLeastHalf(alive[own], registered[own]) {
 		return false
 	}
 	for dc, n := range registered {
-		if dc != own && most(alive[dc], n) {
+		if dc != own && atLeastHalf(alive[dc], n) {
 			return true
 		}
 	}
 	return false
 }
 
-// most reports whether at least half are alive, as routers count.
-func most(alive, registered int) bool { return 2*alive >= registered }
+// atLeastHalf reports whether at least half of the registered balancers are alive,
+// which is the routers' rule.
+func atLeastHalf(alive, registered int) bool { return 2*alive >= registered }
--- a/internal/peer/presence_test.go
+++ b/internal/peer/presence_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// A data centre hands its callers to others only if it has lost most of its
-// balancers and another one has not.
+// A data centre passes its callers to others only if it has lost more than half of
+// its balancers and another one has not.
 func TestOutnumbered(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		all  string // by data centre; capitals are alive
+		all  string // one letter per balancer, by data centre; upper case is alive
 		want bool
 	}{
-		{"all are well", "AAA BB CC", false},
-		{"one of three is gone", "AAa BB CC", false},
-		{"two of three are gone", "Aaa BB CC", true},
-		{"one of two is gone", "Aa BB CC", false},
-		{"two of three are gone, also elsewhere", "Aaa Bbb Ccc", false},
-		{"two of three are gone, and half of another", "Aaa Bb cc", true},
-		{"it hears nobody", "Aaa bb cc", false},
-		{"it is alone", "A", false},
-		{"there is no other data centre", "Aaa", false},
+		{"all are alive", "AAA BB CC", false},
+		{"one of three is lost", "AAa BB CC", false},
+		{"two of three are lost", "Aaa BB CC", true},
+		{"one of two is lost", "Aa BB CC", false},
+		{"two of three are lost in every data centre", "Aaa Bbb Ccc", false},
+		{"two of three are lost, and half of another data centre", "Aaa Bb cc", true},
+		{"no heartbeats from any other balancer", "Aaa bb cc", false},
+		{"single balancer", "A", false},
+		{"no other data centre", "Aaa", false},
 	} {
 		var all []Presence
 		for _, r := range strings.ReplaceAll(c.all, " ", "") {
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -7,37 +7,39 @@
 	"github.com/pkg/errors"
 )
 
-// MaxSources is the number of balancers of a data centre that hand out copies of the
-// store to those that start: one that answers is enough, and two may be dead or cut off
-// at the same time.
-const MaxSources = 3
+// MaxBootstrapSources is the number of bootstrap sources of a data centre. One that
+// answers is enough, so two can be dead or cut off at the same time.
+const MaxBootstrapSources = 3
 
-// sizeSlack is the part of a data centre by which its size may have changed before
-// that is worth a write to the store.
-const sizeSlack = 4
+// sizeTolerance is the divisor of the size of a data centre that gives the change in
+// size up to which the record in the store is not rewritten: one quarter.
+const sizeTolerance = 4
 
-// BootstrapSources names the balancers of a data centre from which one that starts takes its
-// first copy of the store. It lies in the store, as a balancer that starts knows no
-// other one.
+// BootstrapSources lists the balancers of a data centre from which a starting balancer
+// fetches its first copy of the store. The list is kept in the store, because a
+// starting balancer does not know any other balancer.
 type BootstrapSources struct {
-	Balancers []netip.AddrPort `cbor:"1,keyasint"` // control addresses, best first
-	Size      int              `cbor:"2,keyasint"` // balancers of the data centre
+	Balancers []netip.AddrPort `cbor:"1,keyasint"` // control addresses in order of rank
+	Size      int              `cbor:"2,keyasint"` // number of balancers of the data centre
 }
 
-// DecodeBootstrapSources decodes a record of the store.
+// DecodeBootstrapSources decodes a record of the store. It returns an error if the
+// record has no or an invalid address, or a size below 1.
 func DecodeBootstrapSources(b []byte) (BootstrapSources, error) {
 	var s BootstrapSources
 	if err := Decode(b, &s); err != nil {
 		return BootstrapSources{}, err
 	}
 	if len(s.Balancers) == 0 || s.Size < 1 || slices.ContainsFunc(s.Balancers, func(a netip.AddrPort) bool { return !a.IsValid() }) {
-		return BootstrapSources{}, errors.Errorf("peer: sources %v of %d balancers are not usable", s.Balancers, s.Size)
+		return BootstrapSources{}, errors.Errorf("peer: invalid bootstrap sources %v for %d balancers", s.Balancers, s.Size)
 	}
 	return s, nil
 }
 
-// UpToDate reports whether the record still does for a data centre whose sources are now.
-func (s BootstrapSources) UpToDate(now BootstrapSources) bool {
-	off := max(s.Size-now.Size, now.Size-s.Size)
-	return slices.Equal(s.Balancers, now.Balancers) && off*sizeSlack <= now.Size
+// UpToDate reports whether the record s in the store can stay when the bootstrap
+// sources of the data centre are current: the balancers are the same and the size
+// differs by at most a quarter.
+func (s BootstrapSources) UpToDate(current BootstrapSources) bool {
+	diff := max(s.Size-current.Size, current.Size-s.Size)
+	return slices.Equal(s.Balancers, current.Balancers) && diff*sizeTolerance <= current.Size
 }
--- a/internal/peer/sources_test.go
+++ b/internal/peer/sources_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSourcesAreTheFirstInRank(t *testing.T) {
+func TestBootstrapSourcesAreTheFirstInRank(t *testing.T) {
 	var all []Member
 	for i, wide := range []bool{false, false, true, false, true} {
 		m := member(string(rune('a'+i)), "x", wide)
@@ -25,29 +25,29 @@
 	}
 }
 
-func TestSourcesAreWrittenOnlyIfTheyChange(t *testing.T) {
+func TestBootstrapSourcesAreWrittenOnlyIfTheyChange(t *testing.T) {
 	a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
-	now := BootstrapSources{[]netip.AddrPort{a, b}, 60}
+	current := BootstrapSources{[]netip.AddrPort{a, b}, 60}
 	for _, c := range []struct {
-		old  BootstrapSources
-		does bool
+		stored   BootstrapSources
+		upToDate bool
 	}{
-		{now, true},
+		{current, true},
 		{BootstrapSources{[]netip.AddrPort{a, b}, 50}, true},
 		{BootstrapSources{[]netip.AddrPort{a, b}, 30}, false},
 		{BootstrapSources{[]netip.AddrPort{a, b}, 90}, false},
 		{BootstrapSources{[]netip.AddrPort{b, a}, 60}, false},
 		{BootstrapSources{}, false},
 	} {
-		if c.old.UpToDate(now) != c.does {
-			t.Errorf("%v serves for %v: %v", c.old, now, !c.does)
+		if c.stored.UpToDate(current) != c.upToDate {
+			t.Errorf("%v up to date for %v: %v", c.stored, current, !c.upToDate)
 		}
 	}
 }
 
-// Another program wrote the record: a balancer that starts must not wait for sources
-// that do not exist.
-func TestUnusableSources(t *testing.T) {
+// Guards against a starting balancer that waits for bootstrap sources that do not
+// exist, because another program wrote an invalid record.
+func TestInvalidBootstrapSources(t *testing.T) {
 	good, err := Encode(BootstrapSources{[]netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}, 1})
 	if err != nil {
 		t.Fatal(err)
@@ -61,10 +61,10 @@
 			t.Fatal(err)
 		}
 		if s, err := DecodeBootstrapSources(b); err == nil {
-			t.Errorf("%v is taken", s)
+			t.Errorf("invalid record %v was accepted", s)
 		}
 	}
 	if _, err := DecodeBootstrapSources([]byte("no CBOR")); err == nil {
-		t.Error("rubbish is taken")
+		t.Error("a record that is no CBOR was accepted")
 	}
 }
--- a/internal/peer/upgrade_test.go
+++ b/internal/peer/upgrade_test.go
@@ -12,9 +12,9 @@
 	"rosedale.dev/rosedale/internal/replica"
 )
 
-// A fleet is upgraded one VM after the other: messages of the first version, kept
-// in testdata, must still be read as they were meant.
-func TestMessagesOfTheFirstVersion(t *testing.T) {
+// A fleet is upgraded one VM at a time, so messages of the first version, kept in
+// testdata, must still decode to the same values.
+func TestDecodeMessagesOfFirstVersion(t *testing.T) {
 	control := netip.MustParseAddrPort("10.0.0.1:17002")
 	var h Heartbeat
 	decodeFile(t, "heartbeat.cbor", &h)
@@ -43,7 +43,7 @@
 	}
 }
 
-// heartbeatV1 is a heartbeat as the first version knew it. It stays as it is.
+// heartbeatV1 is the heartbeat of the first version. Don't change it.
 type heartbeatV1 struct {
 	From       string         `cbor:"1,keyasint"`
 	DataCenter string         `cbor:"2,keyasint"`
@@ -65,8 +65,8 @@
 	Busy  int
 }
 
-// A balancer that is not upgraded yet must understand a new one's heartbeats.
-func TestFirstVersionReadsPresentHeartbeats(t *testing.T) {
+// A balancer of the first version must decode the heartbeats of an upgraded one.
+func TestFirstVersionDecodesCurrentHeartbeats(t *testing.T) {
 	sent := Heartbeat{From: "vm-2", DataCenter: "b", Control: netip.MustParseAddrPort("10.0.0.2:17002"), Position: 5, Age: time.Second, LastChange: 4,
 		Reading: true, Loads: []TargetUse{{ID: 7, Flows: 1, Busy: 2}}, Suspected: []uint64{8}, Version: 3, Leaving: true,
 		History: 2, Dead: []int{0}, Era: 2, Settling: time.Second, Outcomes: TargetOutcomes(map[direct.TargetID]direct.Outcome{7: {Good: 1, Bad: 2}})}
@@ -80,7 +80,7 @@
 	}
 	want := heartbeatV1{sent.From, sent.DataCenter, sent.Control, sent.Position, sent.Age, sent.LastChange, true, []useV1{{ID: 7, Flows: 1, Busy: 2}}, []uint64{8}, 3, true}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, want %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 }
 
