--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -177,7 +177,7 @@
 		l.group.Resume(now)
 	}
 	l.lastTick = now
-	if l.group.Settled(now) {
+	if l.group.CaughtUp(now) {
 		l.router.Alive(now)
 	}
 	l.plane.Tick()
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -119,12 +119,12 @@
 	w.run(10 * time.Second)
 	w.paused["vm-003"] = false
 	g.Resume(w.now)
-	if g.Settled(w.now) {
+	if g.CaughtUp(w.now) {
 		t.Fatal("it may decide before it heard anyone")
 	}
 	w.run(5 * time.Second)
-	if !g.Settled(w.now) || g.Self().Incarnation == 1 {
-		t.Fatalf("settled %v, incarnation %d", g.Settled(w.now), g.Self().Incarnation)
+	if !g.CaughtUp(w.now) || g.Self().Incarnation == 1 {
+		t.Fatalf("settled %v, incarnation %d", g.CaughtUp(w.now), g.Self().Incarnation)
 	}
 	w.agree(t, "vm-003", wire.Alive)
 }
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -37,9 +37,9 @@
 	g.pingAt = now
 }
 
-// Settled reports whether this member may decide as home: not right after a
+// CaughtUp reports whether this member may decide as home: not right after a
 // pause, until a peer has answered or all had time to.
-func (g *Group) Settled(now time.Duration) bool {
+func (g *Group) CaughtUp(now time.Duration) bool {
 	if g.resumed == 0 {
 		return true
 	}
