--- a/internal/control/catalogue.go
+++ b/internal/control/catalogue.go
@@ -131,7 +131,7 @@
 func (l *Loop) listed(ctx context.Context, index uint64, vs []catalogue.Version, part func(string) bool, shard int) {
 	l.shards[shard] = true
 	l.sync = l.sync || len(l.shards) == store.Shards
-	l.accept(ctx, l.cat.Listing(index, vs, part), "")
+	l.accept(ctx, l.cat.VersionsFromListing(index, vs, part), "")
 }
 
 func jitter(d time.Duration) time.Duration {
@@ -157,7 +157,7 @@
 		} else {
 			l.post(ctx, func(time.Duration) {
 				l.sync = true
-				l.accept(ctx, l.cat.Listing(high, vs, func(string) bool { return true }), "")
+				l.accept(ctx, l.cat.VersionsFromListing(high, vs, func(string) bool { return true }), "")
 			})
 		}
 		sleep(ctx, filePoll)
--- a/internal/converge/converge.go
+++ b/internal/converge/converge.go
@@ -176,11 +176,11 @@
 	return out
 }
 
-// Listing turns a complete listing of a part of the store, taken at index,
+// VersionsFromListing turns a complete listing of a part of the store, taken at index,
 // into versions: entries of that part which are missing from it were deleted,
 // but only if the listing is newer than all of the part that is known. A listing
 // of a rewound store says nothing.
-func (c *Catalogue) Listing(index uint64, entries []catalogue.Version, part func(name string) bool) []catalogue.Version {
+func (c *Catalogue) VersionsFromListing(index uint64, entries []catalogue.Version, part func(name string) bool) []catalogue.Version {
 	listed := map[string]bool{}
 	for _, v := range entries {
 		listed[v.Name] = true
--- a/internal/converge/converge_test.go
+++ b/internal/converge/converge_test.go
@@ -98,9 +98,9 @@
 // restart of the watch must not revert or delete anything.
 func TestRewoundStoreChangesNothing(t *testing.T) {
 	c := New("vm-0", 1)
-	c.Accept(c.Listing(20, []catalogue.Version{version("a", 12), version("b", 20)}, whole), "", nil)
+	c.Accept(c.VersionsFromListing(20, []catalogue.Version{version("a", 12), version("b", 20)}, whole), "", nil)
 	before := c.Versions().Digest()
-	c.Accept(c.Listing(11, []catalogue.Version{version("a", 10)}, whole), "", nil)
+	c.Accept(c.VersionsFromListing(11, []catalogue.Version{version("a", 10)}, whole), "", nil)
 	if c.Versions().Digest() != before {
 		t.Fatal("a rewound listing changed the catalogue")
 	}
@@ -113,7 +113,7 @@
 	for _, c := range cs {
 		c.Accept([]catalogue.Version{version("a", 12), version("b", 13)}, "", nil)
 	}
-	cs["vm-0"].Accept(cs["vm-0"].Listing(30, []catalogue.Version{version("b", 13)}, whole), "", nil)
+	cs["vm-0"].Accept(cs["vm-0"].VersionsFromListing(30, []catalogue.Version{version("b", 13)}, whole), "", nil)
 	heartbeats(cs, time.Second)
 	heartbeats(cs, time.Hour)
 	for n, c := range cs {
