--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -30,19 +30,19 @@
 // own returns up to n of this balancer's counts, other ones each time when
 // there are more. Zeros are reported too: a target that holds nothing is what
 // peers need to know most.
-func (h *heldTable) own(counts map[uint32]int, n int) []wire.Held {
+func (h *heldTable) own(counts map[uint32]int, n int) []wire.TargetConnections {
 	all := slices.Sorted(maps.Keys(counts))
-	out := make([]wire.Held, 0, n)
+	out := make([]wire.TargetConnections, 0, n)
 	for i := 0; i < len(all) && len(out) < n; i++ {
 		hash := all[(h.turn+i)%len(all)]
-		out = append(out, wire.Held{Target: hash, Connections: uint32(counts[hash])})
+		out = append(out, wire.TargetConnections{Target: hash, Connections: uint32(counts[hash])})
 	}
 	h.turn += len(out)
 	return out
 }
 
 // peer notes the counts on a heartbeat beside the own ones of the moment.
-func (h *heldTable) peer(now time.Duration, name string, hs []wire.Held, own map[uint32]int) {
+func (h *heldTable) peer(now time.Duration, name string, hs []wire.TargetConnections, own map[uint32]int) {
 	if len(hs) == 0 {
 		return
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -81,9 +81,9 @@
 	Admin       netip.AddrPort `cbor:"7,keyasint"`
 }
 
-// Held is the number of stream connections that the sender's flows hold at a
+// TargetConnections is the number of stream connections that the sender's flows hold at a
 // target, which is named by TargetHash.
-type Held struct {
+type TargetConnections struct {
 	_           struct{} `cbor:",toarray"`
 	Target      uint32
 	Connections uint32
@@ -124,7 +124,7 @@
 	Digest   uint64              `cbor:"7,keyasint,omitempty"` // of the catalogue
 	High     uint64              `cbor:"8,keyasint,omitempty"` // highest catalogue index
 	Members  uint64              `cbor:"9,keyasint,omitempty"` // digest of the member list
-	Held     []Held              `cbor:"10,keyasint,omitempty"`
+	Held     []TargetConnections `cbor:"10,keyasint,omitempty"`
 	Health   []Health            `cbor:"11,keyasint,omitempty"`
 	Above    uint64              `cbor:"12,keyasint,omitempty"` // Pull: versions above this index
 	Have     map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: indexes that the sender has
