--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -32,7 +32,7 @@
 	for _, s := range out {
 		l.cat.Stamp(s.Msg)
 		if s.Msg.Kind == wire.Ping {
-			s.Msg.Held = l.held.own(l.counts(), heldPerMessage)
+			s.Msg.TargetConnections = l.held.own(l.counts(), heldPerMessage)
 			s.Msg.Health = l.health.Rotate(now, healthPerMessage)
 		}
 		l.sendTo(ctx, s.To, s.Msg)
@@ -70,7 +70,7 @@
 }
 
 func (l *Loop) heartbeat(ctx context.Context, now time.Duration, m *wire.Message) {
-	l.held.peer(now, m.From, m.Held, l.counts())
+	l.held.peer(now, m.From, m.TargetConnections, l.counts())
 	for _, s := range l.cat.Compare(now, m) {
 		l.sendTo(ctx, s.To, s.Msg)
 	}
--- a/internal/experiment/sizes.go
+++ b/internal/experiment/sizes.go
@@ -34,7 +34,7 @@
 	base := wire.Message{Kind: wire.Ping, From: record.Name, Seq: 1 << 20, Digest: 1 << 60, High: 1 << 30, Members: 1 << 60}
 	beat := base
 	for i := range 32 {
-		beat.Held = append(beat.Held, wire.TargetConnections{Target: 1<<31 + uint32(i), Connections: 700})
+		beat.TargetConnections = append(beat.TargetConnections, wire.TargetConnections{Target: 1<<31 + uint32(i), Connections: 700})
 	}
 	for range 3 {
 		beat.Health = append(beat.Health, wire.Health{Target: 1 << 31, Checker: 1 << 31, Seq: 1 << 31, Healthy: true, Load: 50})
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -115,22 +115,22 @@
 
 // Message is one message. Unused fields stay empty and take no room.
 type Message struct {
-	Version  uint8               `cbor:"1,keyasint"`
-	Kind     Kind                `cbor:"2,keyasint"`
-	From     string              `cbor:"3,keyasint"`
-	Seq      uint32              `cbor:"4,keyasint,omitempty"`
-	Target   string              `cbor:"5,keyasint,omitempty"`
-	Updates  []Record            `cbor:"6,keyasint,omitempty"`
-	Digest   uint64              `cbor:"7,keyasint,omitempty"` // of the catalogue
-	High     uint64              `cbor:"8,keyasint,omitempty"` // highest catalogue index
-	Members  uint64              `cbor:"9,keyasint,omitempty"` // digest of the member list
-	Held     []TargetConnections `cbor:"10,keyasint,omitempty"`
-	Health   []Health            `cbor:"11,keyasint,omitempty"`
-	Above    uint64              `cbor:"12,keyasint,omitempty"` // Pull: versions above this index
-	Have     map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: indexes that the sender has
-	Full     bool                `cbor:"14,keyasint,omitempty"` // Pull: Have is complete; member records too
-	Versions []catalogue.Version `cbor:"15,keyasint,omitempty"`
-	Flows    []Flow              `cbor:"16,keyasint,omitempty"`
+	Version           uint8               `cbor:"1,keyasint"`
+	Kind              Kind                `cbor:"2,keyasint"`
+	From              string              `cbor:"3,keyasint"`
+	Seq               uint32              `cbor:"4,keyasint,omitempty"`
+	Target            string              `cbor:"5,keyasint,omitempty"`
+	Updates           []Record            `cbor:"6,keyasint,omitempty"`
+	Digest            uint64              `cbor:"7,keyasint,omitempty"` // of the catalogue
+	High              uint64              `cbor:"8,keyasint,omitempty"` // highest catalogue index
+	Members           uint64              `cbor:"9,keyasint,omitempty"` // digest of the member list
+	TargetConnections []TargetConnections `cbor:"10,keyasint,omitempty"`
+	Health            []Health            `cbor:"11,keyasint,omitempty"`
+	Above             uint64              `cbor:"12,keyasint,omitempty"` // Pull: versions above this index
+	Have              map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: indexes that the sender has
+	Full              bool                `cbor:"14,keyasint,omitempty"` // Pull: Have is complete; member records too
+	Versions          []catalogue.Version `cbor:"15,keyasint,omitempty"`
+	Flows             []Flow              `cbor:"16,keyasint,omitempty"`
 }
 
 // ErrVersion is the error of a message that is too old to be understood.
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -11,10 +11,10 @@
 func TestRoundTrip(t *testing.T) {
 	m := &Message{
 		Kind: Handover, From: "vm-a", Seq: 7, Digest: 9,
-		Updates: []Record{{Name: "vm-b", Data: netip.MustParseAddrPort("127.0.0.1:1"), Incarnation: 3, Status: Leaving}},
-		Held:    []TargetConnections{{Target: 1, Connections: 2}},
-		Health:  []Health{{Target: 1, Checker: 2, Seq: 3, Healthy: true, Load: 40}},
-		Flows:   []Flow{{Caller: netip.MustParseAddrPort("198.51.100.1:2"), Target: netip.MustParseAddr("::1"), Opening: []byte{1}}},
+		Updates:           []Record{{Name: "vm-b", Data: netip.MustParseAddrPort("127.0.0.1:1"), Incarnation: 3, Status: Leaving}},
+		TargetConnections: []TargetConnections{{Target: 1, Connections: 2}},
+		Health:            []Health{{Target: 1, Checker: 2, Seq: 3, Healthy: true, Load: 40}},
+		Flows:             []Flow{{Caller: netip.MustParseAddrPort("198.51.100.1:2"), Target: netip.MustParseAddr("::1"), Opening: []byte{1}}},
 	}
 	b, err := Encode(m)
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b, _ := Encode(&Message{Kind: Ping, From: "vm-a", Held: []TargetConnections{{Target: 1}}})
+	b, _ := Encode(&Message{Kind: Ping, From: "vm-a", TargetConnections: []TargetConnections{{Target: 1}}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := Decode(b); err == nil {
