--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -9,9 +9,9 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// benchmarkGroup reports what a member of a group of n sends in a steady
-// minute, and how long it takes until all know of a death. Bytes are payloads,
-// without QUIC.
+// benchmarkGroup reports what a member of a group of n sends per second when nothing
+// changes, and the time until no member considers a dead one as serving. Bytes are
+// those of payloads, without QUIC.
 func benchmarkGroup(b *testing.B, n int) {
 	for b.Loop() {
 		w := newNetwork(n)
@@ -24,8 +24,8 @@
 		}
 		b.ReportMetric(float64(total)/float64(n)/30, "bytes/s/member")
 		w.paused["vm-003"] = true
-		began, known := w.now, 0
-		for known < n-1 && w.now-began < time.Minute {
+		start, known := w.now, 0
+		for known < n-1 && w.now-start < time.Minute {
 			w.run(netStep)
 			known = 0
 			for _, name := range w.names {
@@ -34,10 +34,10 @@
 				}
 			}
 		}
-		b.ReportMetric((w.now - began).Seconds(), "s-until-all-avoid")
+		b.ReportMetric((w.now - start).Seconds(), "s-until-all-avoid")
 		r, _ := w.groups["vm-000"].Get("vm-003")
 		if r.Status == wire.Alive {
-			b.Fatal("the death went unnoticed")
+			b.Fatal("the dead member is still alive in the list")
 		}
 	}
 }
@@ -47,9 +47,9 @@
 func BenchmarkGroup200(b *testing.B) { benchmarkGroup(b, 200) }
 func BenchmarkGroup600(b *testing.B) { benchmarkGroup(b, 600) }
 
-// benchmarkHeal reports how long two halves of n members that were cut off for
-// two minutes take until all see all alive again, by heartbeats alone. The
-// daemon also exchanges complete lists, which is faster.
+// benchmarkHeal reports the time after a partition of two minutes into halves of n
+// members until every member sees all as alive, by heartbeats alone. The daemon also
+// exchanges complete lists, which is faster.
 func benchmarkHeal(b *testing.B, n int) {
 	for b.Loop() {
 		w := newNetwork(n)
@@ -59,8 +59,8 @@
 		w.run(2 * time.Minute)
 		w.lost = func(string, string) bool { return false }
 		w.bytes = map[string]int{}
-		began := w.now
-		for alive := 0; alive < n*n && w.now-began < 5*time.Minute; {
+		start := w.now
+		for alive := 0; alive < n*n && w.now-start < 5*time.Minute; {
 			w.run(5 * netStep)
 			alive = 0
 			for _, name := range w.names {
@@ -75,7 +75,7 @@
 		for _, x := range w.bytes {
 			total += x
 		}
-		b.ReportMetric((w.now - began).Seconds(), "s-until-all-alive")
+		b.ReportMetric((w.now - start).Seconds(), "s-until-all-alive")
 		b.ReportMetric(float64(total)/float64(n), "bytes/member")
 	}
 }
@@ -84,7 +84,7 @@
 func BenchmarkHeal56(b *testing.B)  { benchmarkHeal(b, 56) }
 func BenchmarkHeal112(b *testing.B) { benchmarkHeal(b, 112) }
 
-// BenchmarkRecords reports the heap that a list of 600 members takes.
+// BenchmarkRecords reports the heap size of a list of 600 members.
 func BenchmarkRecords(b *testing.B) {
 	const n = 600
 	for b.Loop() {
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -1,9 +1,9 @@
-// Package member keeps the list of balancers. Each member sends heartbeats to
-// a bounded set of neighbours and spreads changes with them, so that its cost
-// does not grow with the fleet (after SWIM, Das et al. 2002, with a fixed
-// neighbourhood in place of uniformly random peers, so that the number of
-// connections is bounded too). The package does no I/O: messages and the time
-// go in, messages come out.
+// Package member maintains the list of balancers. Each member sends heartbeats to
+// a bounded set of neighbours and attaches changes of the list to them, so that its
+// cost does not grow with the fleet. The protocol follows SWIM (Das et al. 2002),
+// with a fixed neighbourhood in place of uniformly random peers, which also bounds
+// the number of connections. The package does no I/O: it takes messages and the
+// time, and returns the messages to send.
 package member
 
 import (
@@ -18,116 +18,117 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// Settings are the protocol's times. Zero values take the defaults.
+// Settings are the times of the protocol. Zero values stand for the defaults.
 type Settings struct {
 	Period         time.Duration // between two heartbeats that a member sends
-	AckTimeout     time.Duration // silence after which others are asked to ping
-	SuspectTimeout time.Duration // from suspicion to death
-	RejoinPeriod   time.Duration // between two attempts to reach dead members
-	LeaveMemory    time.Duration // how long dead and left members are remembered
+	AckTimeout     time.Duration // time without an answer after which other members are asked to ping
+	SuspectTimeout time.Duration // between the suspicion of a member and marking it dead
+	RejoinPeriod   time.Duration // between two pings of dead members
+	Retention      time.Duration // how long records of dead and left members are kept
 }
 
 // Defaults returns s with defaults in place of zero values.
 func (s Settings) Defaults() Settings {
-	def := func(p *time.Duration, v time.Duration) {
+	setDefault := func(p *time.Duration, v time.Duration) {
 		if *p == 0 {
 			*p = v
 		}
 	}
-	def(&s.Period, 500*time.Millisecond)
-	def(&s.AckTimeout, 250*time.Millisecond)
-	def(&s.SuspectTimeout, 1500*time.Millisecond)
-	def(&s.RejoinPeriod, 2*time.Second)
-	def(&s.LeaveMemory, 2*time.Hour)
+	setDefault(&s.Period, 500*time.Millisecond)
+	setDefault(&s.AckTimeout, 250*time.Millisecond)
+	setDefault(&s.SuspectTimeout, 1500*time.Millisecond)
+	setDefault(&s.RejoinPeriod, 2*time.Second)
+	setDefault(&s.Retention, 2*time.Hour)
 	return s
 }
 
 const (
-	neighbours = 8 // successors on the ring that a member pings
-	longLinks  = 2 // random members beyond them, against long paths
-	relays     = 2 // members asked to ping a silent one
-	maxUpdates = 8 // records on one message
-	fanout     = 3 // members that an urgent change goes to at once
-	redraw     = 30 * time.Second
+	successors       = 8                // members that follow on the ring and are pinged
+	longLinkCount    = 2                // random members beyond the successors, which shorten paths through the group
+	relayCount       = 2                // members that are asked to ping one that does not answer
+	maxUpdates       = 8                // records in one message
+	fanout           = 3                // members to which an urgent change is sent immediately
+	longLinkLifetime = 30 * time.Second // after which other long links are chosen
 )
 
-// Send is a message to a member.
+// Send is a message with the name of the member to send it to.
 type Send struct {
 	To  string
 	Msg *wire.Message
 }
 
-// member is a Record with what this process knows beyond it.
+// member is a record with local state.
 type member struct {
 	wire.Record
-	seed   uint64
-	since  time.Duration // of the current status
-	probes probe
+	seed        uint64        // hash of the name; position on the ring
+	statusSince time.Duration // time of the last change of status
+	probe       probeState
 }
 
-// probe is an unanswered heartbeat.
-type probe struct {
+// probeState is the state of the oldest unanswered heartbeat to a member.
+type probeState struct {
 	seq     uint32
 	sentAt  time.Duration
 	waiting bool
-	relayed bool
+	relayed bool // other members were asked to ping
 }
 
-// update is a record that is being spread.
+// update is a member's record that is attached to outgoing messages.
 type update struct {
-	name string
-	left int
+	name      string
+	remaining int // number of further messages that carry it
 }
 
-// Group is one member's view of all. It is not safe for concurrent use.
+// Group is one member's view of the member list. It is not safe for concurrent use.
 type Group struct {
-	set     Settings
-	rnd     *rand.Rand
-	self    *member
-	all     map[string]*member
-	order   []*member // all, by name
-	queue   []update
-	digest  uint64
-	seq     uint32
-	turn    int
-	links   []string // long links
-	drawnAt time.Duration
-	pingAt  time.Duration
-	joinAt  time.Duration
-	heardAt time.Duration
-	resumed time.Duration // when a pause was noticed; zero when settled
-	urgent  bool
-	relayed map[uint32]relay // our ping's sequence -> who asked for it
-	changed bool
-}
-
-type relay struct {
-	to  string
-	seq uint32
-}
-
-// New returns a group that knows only self and the seeds. Seeds may be dead
-// or unknown names; they are tried until they answer.
-func New(set Settings, self wire.Record, seeds []wire.Record, randomSeed uint64) *Group {
+	settings          Settings
+	random            *rand.Rand
+	self              *member
+	members           map[string]*member
+	byName            []*member // all members, sorted by name
+	queue             []update
+	digest            uint64
+	seq               uint32
+	nextNeighbour     int      // index in the neighbourhood, modulo its length
+	longLinks         []string // names; see chooseLongLinks
+	longLinksChosenAt time.Duration
+	nextPing          time.Duration
+	nextRejoin        time.Duration
+	lastReceived      time.Duration
+	resumedAt         time.Duration           // when a pause was noticed; zero once caught up
+	urgent            bool                    // a change has to be sent before the next heartbeat
+	pendingRelays     map[uint32]relayRequest // by the sequence number of our ping
+	changed           bool                    // see Changed
+}
+
+// relayRequest is another member's request to ping a third one.
+type relayRequest struct {
+	to  string // the requesting member, which gets the answer
+	seq uint32 // sequence number of the request
+}
+
+// New returns a group that contains only self and the seeds. Seeds may be dead or
+// not exist; they are pinged until they answer.
+func New(settings Settings, self wire.Record, seeds []wire.Record, randomSeed uint64) *Group {
 	g := &Group{
-		set:     set.Defaults(),
-		rnd:     rand.New(rand.NewPCG(randomSeed, randomSeed>>7)),
-		all:     map[string]*member{},
-		relayed: map[uint32]relay{},
-		changed: true,
+		settings:      settings.Defaults(),
+		random:        rand.New(rand.NewPCG(randomSeed, randomSeed>>7)),
+		members:       map[string]*member{},
+		pendingRelays: map[uint32]relayRequest{},
+		changed:       true,
 	}
 	g.self = g.add(self)
 	for _, s := range seeds {
 		g.AddSeed(s)
 	}
-	g.spread(self.Name)
+	g.queueUpdate(self.Name)
 	return g
 }
 
-// AddSeed notes an address that settings or the platform's list name. It
-// counts for nothing until the member itself has been heard.
+// AddSeed adds a member whose address comes from the settings or from the platform's
+// list. It counts as dead until a message of the member itself arrives.
 func (g *Group) AddSeed(r wire.Record) {
-	if g.all[r.Name] != nil {
+	if g.members[r.Name] != nil {
 		return
 	}
 	r.Incarnation = 0
@@ -137,16 +138,16 @@
 
 func (g *Group) add(r wire.Record) *member {
 	m := &member{Record: r, seed: rendezvous.Seed(r.Name)}
-	g.all[r.Name] = m
-	i, _ := slices.BinarySearchFunc(g.order, r.Name, func(m *member, n string) int { return strings.Compare(m.Name, n) })
-	g.order = slices.Insert(g.order, i, m)
+	g.members[r.Name] = m
+	i, _ := slices.BinarySearchFunc(g.byName, r.Name, func(m *member, n string) int { return strings.Compare(m.Name, n) })
+	g.byName = slices.Insert(g.byName, i, m)
 	g.digest ^= recordHash(r)
 	return m
 }
 
 func recordHash(r wire.Record) uint64 {
 	if r.Incarnation == 0 {
-		return 0 // a seed that was never heard
+		return 0 // a seed that never answered
 	}
 	return rendezvous.Score(rendezvous.Seed(r.Name)^r.Incarnation, uint64(r.Status))
 }
@@ -154,24 +155,24 @@
 // Self returns this member's record.
 func (g *Group) Self() wire.Record { return g.self.Record }
 
-// Digest is equal at two members with the same list.
+// Digest returns a hash of the list, which is equal at members with the same list.
 func (g *Group) Digest() uint64 { return g.digest }
 
 // Members returns all records, sorted by name.
 func (g *Group) Members() []wire.Record {
-	out := make([]wire.Record, 0, len(g.order))
-	for _, m := range g.order {
+	out := make([]wire.Record, 0, len(g.byName))
+	for _, m := range g.byName {
 		out = append(out, m.Record)
 	}
 	return out
 }
 
 // Len returns the number of records.
-func (g *Group) Len() int { return len(g.all) }
+func (g *Group) Len() int { return len(g.members) }
 
-// Get returns one record.
+// Get returns the record of a member.
 func (g *Group) Get(name string) (wire.Record, bool) {
-	m := g.all[name]
+	m := g.members[name]
 	if m == nil {
 		return wire.Record{}, false
 	}
@@ -185,7 +186,7 @@
 	return c
 }
 
-// SetStatus changes this member's own status and spreads it.
+// SetStatus changes this member's own status and sends the change to other members.
 func (g *Group) SetStatus(now time.Duration, s wire.Status) {
 	if g.self.Status == s {
 		return
@@ -200,37 +201,37 @@
 func (g *Group) replace(now time.Duration, m *member, r wire.Record) {
 	g.digest ^= recordHash(m.Record) ^ recordHash(r)
 	if m.Status != r.Status {
-		m.since = now
+		m.statusSince = now
 	}
 	m.Record = r
 	g.changed = true
-	g.spread(r.Name)
+	g.queueUpdate(r.Name)
 }
 
-// spread queues a record for piggybacking, for about three times the
-// logarithm of the list's length: enough to reach every member.
-func (g *Group) spread(name string) {
-	n := 3 * (bits.Len(uint(len(g.all))) + 1)
+// queueUpdate attaches a member's record to the next messages. Their number is about
+// three times the binary logarithm of the list's length, enough to reach every member.
+func (g *Group) queueUpdate(name string) {
+	n := 3 * (bits.Len(uint(len(g.members))) + 1)
 	for i := range g.queue {
 		if g.queue[i].name == name {
-			g.queue[i].left = n
+			g.queue[i].remaining = n
 			return
 		}
 	}
 	g.queue = append(g.queue, update{name, n})
 }
 
-// Updates returns the records to piggyback on a message, freshest first.
-func (g *Group) updates() []wire.Record {
-	sort.SliceStable(g.queue, func(i, j int) bool { return g.queue[i].left > g.queue[j].left })
+// takeUpdates returns the records to attach to a message, newest first.
+func (g *Group) takeUpdates() []wire.Record {
+	sort.SliceStable(g.queue, func(i, j int) bool { return g.queue[i].remaining > g.queue[j].remaining })
 	var out []wire.Record
 	keep := g.queue[:0]
 	for _, u := range g.queue {
 		if len(out) < maxUpdates {
-			out = append(out, g.all[u.name].Record)
-			u.left--
+			out = append(out, g.members[u.name].Record)
+			u.remaining--
 		}
-		if u.left > 0 {
+		if u.remaining > 0 {
 			keep = append(keep, u)
 		}
 	}
@@ -240,12 +241,13 @@
 
 func reachable(s wire.Status) bool { return s >= wire.Starting && s <= wire.Leaving }
 
-// Reachable reports whether a record's member can be expected to answer.
+// Reachable reports whether the member of a record is expected to answer.
 func Reachable(r wire.Record) bool { return r.Incarnation > 0 && reachable(r.Status) }
 
-// Serving reports whether a record's member decides on flows. A suspect does
-// not: openings of a dead home wait, while a home that was suspected wrongly
-// hands over and has its flows back when it has refuted the suspicion.
+// Serving reports whether the member of a record can be the home of flows. A suspect
+// can't: if it is dead, openings that it owns would have to wait. A home that was
+// suspected wrongly hands its flows over and gets them back after refuting the
+// suspicion.
 func Serving(r wire.Record) bool {
 	return r.Incarnation > 0 && r.Status == wire.Alive
 }
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -8,8 +8,9 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// net is a network of groups with a virtual clock. Messages arrive after a
-// millisecond unless lost says otherwise.
+// network connects groups with a virtual clock that advances by netStep. Messages
+// arrive in the step in which they are sent, answers in the next one, unless lost
+// drops them or the receiver is paused.
 type network struct {
 	now    time.Duration
 	groups map[string]*Group
@@ -74,7 +75,8 @@
 	}
 }
 
-func (w *network) agree(t *testing.T, name string, want wire.Status) {
+// expectStatus checks the status of a member in the lists of all others that run.
+func (w *network) expectStatus(t *testing.T, name string, want wire.Status) {
 	t.Helper()
 	for _, n := range w.names {
 		if n == name || w.paused[n] {
@@ -86,8 +88,8 @@
 	}
 }
 
-// One seed is enough for all to find each other, and all lists become equal.
-func TestMembersFindEachOther(t *testing.T) {
+// One seed is enough for all members to find each other, and all lists become equal.
+func TestOneSeedIsEnough(t *testing.T) {
 	w := newNetwork(40)
 	w.run(20 * time.Second)
 	want := w.groups["vm-000"].Digest()
@@ -98,20 +100,20 @@
 	}
 }
 
-// A VM dies without a word. Callers whose home it was wait for their opening
-// packets until the others have found out, so that this must take few seconds.
-func TestDeathIsFoundWithinSeconds(t *testing.T) {
+// A VM stops without announcing it. Openings of callers whose home it was wait until
+// the other members have marked it dead, so this must not take longer than 5 s.
+func TestDeathIsDetectedWithinSeconds(t *testing.T) {
 	w := newNetwork(7)
 	w.run(10 * time.Second)
 	w.paused["vm-003"] = true
 	w.run(5 * time.Second)
-	w.agree(t, "vm-003", wire.Dead)
+	w.expectStatus(t, "vm-003", wire.Dead)
 }
 
-// A VM is paused for longer than its peers wait, and wakes up with the list of
-// the time before. It must learn that it was declared dead before it decides
-// anything, and the others must take it back.
-func TestPausedMemberFindsOutFirst(t *testing.T) {
+// A VM is paused for longer than its peers wait, and resumes with an outdated list. It
+// must learn that it was marked dead before it decides on flows, and the others must
+// mark it alive again.
+func TestPausedMemberCatchesUpFirst(t *testing.T) {
 	w := newNetwork(7)
 	w.run(10 * time.Second)
 	g := w.groups["vm-003"]
@@ -120,19 +122,18 @@
 	w.paused["vm-003"] = false
 	g.Resume(w.now)
 	if g.CaughtUp(w.now) {
-		t.Fatal("it may decide before it heard anyone")
+		t.Fatal("it is caught up before a message of a peer arrived")
 	}
 	w.run(5 * time.Second)
 	if !g.CaughtUp(w.now) || g.Self().Incarnation == 1 {
-		t.Fatalf("settled %v, incarnation %d", g.CaughtUp(w.now), g.Self().Incarnation)
+		t.Fatalf("caught up %v, incarnation %d", g.CaughtUp(w.now), g.Self().Incarnation)
 	}
-	w.agree(t, "vm-003", wire.Alive)
+	w.expectStatus(t, "vm-003", wire.Alive)
 }
 
-// Half of the messages between two members are lost for good, and a third of
-// all others. Nobody may be taken for dead for long: false suspicions are
-// refuted.
-func TestLossyNetworkKillsNobody(t *testing.T) {
+// Every fifth message is lost for a minute. No member may stay marked dead: false
+// suspicions are refuted.
+func TestMessageLossMarksNoMemberDead(t *testing.T) {
 	w := newNetwork(7)
 	w.run(10 * time.Second)
 	n := 0
@@ -141,13 +142,13 @@
 	w.lost = func(string, string) bool { return false }
 	w.run(10 * time.Second)
 	for _, name := range w.names {
-		w.agree(t, name, wire.Alive)
+		w.expectStatus(t, name, wire.Alive)
 	}
 }
 
-// Two data centres are cut off from each other for a while. Each part counts
-// the other as dead and goes on; when the cut heals, all are alive again.
-func TestPartsMeetAgain(t *testing.T) {
+// Two data centres are partitioned for 15 s. Each part marks the members of the other
+// dead; when the partition ends, all become alive again.
+func TestPartitionHeals(t *testing.T) {
 	w := newNetwork(8)
 	w.run(10 * time.Second)
 	side := func(n string) bool { return n < "vm-004" }
@@ -160,34 +161,34 @@
 				want = wire.Dead
 			}
 			if r.Status != want {
-				t.Errorf("%s sees %s as %v during the cut", n, r.Name, r.Status)
+				t.Errorf("%s sees %s as %v during the partition", n, r.Name, r.Status)
 			}
 		}
 	}
 	w.lost = func(string, string) bool { return false }
 	w.run(20 * time.Second)
 	for _, name := range w.names {
-		w.agree(t, name, wire.Alive)
+		w.expectStatus(t, name, wire.Alive)
 	}
 }
 
-// An operator stops a VM. All must know within a second, so that no opening
-// waits for a home that is gone.
-func TestLeavingIsKnownAtOnce(t *testing.T) {
+// An operator stops a VM. All members must know within a second, so that no opening
+// waits for a home that has stopped.
+func TestLeavingIsKnownWithinASecond(t *testing.T) {
 	w := newNetwork(7)
 	w.run(10 * time.Second)
 	w.groups["vm-002"].SetStatus(w.now, wire.Leaving)
 	w.run(time.Second)
-	w.agree(t, "vm-002", wire.Leaving)
+	w.expectStatus(t, "vm-002", wire.Leaving)
 }
 
-// A member's cost must not grow with the fleet: 600 members have to fit the
-// budget of 7.
+// A member's cost must not grow with the fleet: in a group of 600, a member has to keep
+// within the bandwidth budget of a group of 7.
 func TestCostIsBounded(t *testing.T) {
 	var per [2]float64
 	for i, n := range []int{14, 112} {
 		w := newNetwork(n)
-		w.run(100 * time.Second) // the news of so many starts has gone round
+		w.run(100 * time.Second) // until the updates about the start of all members are no longer sent
 		w.bytes = map[string]int{}
 		w.run(20 * time.Second)
 		total := 0
--- a/internal/member/receive.go
+++ b/internal/member/receive.go
@@ -6,18 +6,19 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// Receive handles a message from an authenticated member.
+// Receive handles a message of an authenticated member and returns the answers.
 func (g *Group) Receive(now time.Duration, m *wire.Message) []Send {
-	g.heardAt = now
-	g.heard(m.From)
+	g.lastReceived = now
+	g.clearProbe(m.From)
 	for _, r := range m.Updates {
 		g.Merge(now, r)
 	}
 	switch m.Kind {
 	case wire.Ping:
 		ack := g.message(wire.Ack, m.Seq)
-		if p := g.all[m.From]; p == nil || !Reachable(p.Record) {
-			// It does not know that it was declared dead: show it.
+		if p := g.members[m.From]; p == nil || !Reachable(p.Record) {
+			// The sender may not know that it was marked dead; the records let
+			// it refute that.
 			ack.Updates = append(ack.Updates, g.self.Record)
 			if p != nil {
 				ack.Updates = append(ack.Updates, p.Record)
@@ -25,45 +26,48 @@
 		}
 		return []Send{{m.From, ack}}
 	case wire.PingReq:
-		return g.relay(now, m)
+		return g.relayPing(now, m)
 	case wire.Ack:
-		if r, ok := g.relayed[m.Seq]; ok {
-			delete(g.relayed, m.Seq)
+		if r, ok := g.pendingRelays[m.Seq]; ok {
+			delete(g.pendingRelays, m.Seq)
 			ack := g.message(wire.Ack, r.seq)
 			ack.Target = m.From
 			return []Send{{r.to, ack}}
 		}
 		if m.Target != "" {
-			g.heard(m.Target) // a relay reached it for us
+			g.clearProbe(m.Target) // a relay reached the target
 		}
 	}
 	return nil
 }
 
-// heard clears the unanswered heartbeat of a member.
-func (g *Group) heard(name string) {
-	if m := g.all[name]; m != nil {
-		m.probes = probe{}
+// clearProbe discards the unanswered heartbeat to a member.
+func (g *Group) clearProbe(name string) {
+	if m := g.members[name]; m != nil {
+		m.probe = probeState{}
 	}
 }
 
-const maxRelayed = 64
+// maxPendingRelays limits the relayed pings without an answer. All are discarded when
+// it is reached.
+const maxPendingRelays = 64
 
-func (g *Group) relay(now time.Duration, m *wire.Message) []Send {
-	if g.all[m.Target] == nil {
+// relayPing pings a target for another member.
+func (g *Group) relayPing(now time.Duration, m *wire.Message) []Send {
+	if g.members[m.Target] == nil {
 		return nil
 	}
-	if len(g.relayed) >= maxRelayed {
-		clear(g.relayed)
+	if len(g.pendingRelays) >= maxPendingRelays {
+		clear(g.pendingRelays)
 	}
 	g.seq++
-	g.relayed[g.seq] = relay{m.From, m.Seq}
+	g.pendingRelays[g.seq] = relayRequest{m.From, m.Seq}
 	return []Send{{m.Target, g.message(wire.Ping, g.seq)}}
 }
 
-// Merge takes a record if it is newer than the one in force: by incarnation,
-// then by status. What others say about this member itself is refuted with a
-// higher incarnation.
+// Merge replaces a member's record if r is newer, by incarnation and then by status.
+// Records of other members about this member itself are refuted with a higher
+// incarnation.
 func (g *Group) Merge(now time.Duration, r wire.Record) {
 	if r.Name == g.self.Name {
 		g.refute(now, r)
@@ -72,7 +76,7 @@
 	if r.Incarnation == 0 || r.Status < wire.Starting || r.Status > wire.Left {
 		return
 	}
-	m := g.all[r.Name]
+	m := g.members[r.Name]
 	if m == nil {
 		m = g.add(wire.Record{Name: r.Name, Status: wire.Dead})
 	}
@@ -86,11 +90,10 @@
 	g.replace(now, m, r)
 }
 
-// refute answers a record about this member that is not its own.
-//
-// Failure: a heartbeat is lost or this process was paused, and peers believe
-// it dead. It shows as its own record with another status. A higher
-// incarnation overrides the claim everywhere.
+// refute raises this member's incarnation if r, a record about it, contradicts its
+// own record. Peers send such a record when they suspect this member or mark it dead,
+// for example after a lost heartbeat or a pause of this process. The higher
+// incarnation overrides their record in the whole group.
 func (g *Group) refute(now time.Duration, r wire.Record) {
 	same := r.Incarnation == g.self.Incarnation && r.Status == g.self.Status
 	if r.Incarnation < g.self.Incarnation || same {
