--- a/internal/converge/converge.go
+++ b/internal/converge/converge.go
@@ -1,7 +1,6 @@
-// Package converge brings every balancer to the same versions of the
-// catalogue: new versions are pushed on to a few members by each that accepts
-// them, and the digests on heartbeats find and repair what was missed. It does
-// no I/O.
+// Package converge distributes the versions of catalogue entries to all balancers.
+// Each member that accepts new versions pushes them to a few others; digests on
+// heartbeats reveal missed versions, which are then pulled. The package does no I/O.
 package converge
 
 import (
@@ -13,68 +12,69 @@
 )
 
 const (
-	fanout    = 3
-	pullPause = 300 * time.Millisecond
-	// maxPush bounds the versions in one message, in bytes of their text.
+	fanout       = 3                      // members to which new versions are pushed
+	pullInterval = 300 * time.Millisecond // minimum time between two pulls
+	// maxPush limits the total text of the versions in one message, in bytes.
 	maxPush = 1 << 20
 )
 
-// Send is a message to a member.
+// Send is a message with the name of the member to send it to.
 type Send struct {
 	To  string
 	Msg *wire.Message
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start of the process.
 type Counts struct {
 	Accepted, Stale, Invalid, Pulls uint64
 }
 
-// Catalogue is the distributed state of one member.
+// Catalogue holds one member's versions of all catalogue entries and the state of their
+// distribution.
 type Catalogue struct {
-	self     string
-	versions *catalogue.Versions
-	rnd      *rand.Rand
-	pulledAt time.Duration
-	pulled   bool
-	fullNext bool
-	Count    Counts
+	self         string
+	versions     *catalogue.Versions
+	random       *rand.Rand
+	lastPull     time.Duration
+	pulled       bool
+	nextPullFull bool // the last pull asked only for versions above the own highest index
+	Count        Counts
 }
 
-// New returns an empty catalogue of the member self.
+// New returns an empty catalogue for the member self.
 func New(self string, randomSeed uint64) *Catalogue {
 	return &Catalogue{
 		self:     self,
 		versions: catalogue.NewVersions(),
-		rnd:      rand.New(rand.NewPCG(randomSeed, 11)),
+		random:   rand.New(rand.NewPCG(randomSeed, 11)),
 	}
 }
 
-// Versions returns what is in force.
+// Versions returns the versions in force.
 func (c *Catalogue) Versions() *catalogue.Versions { return c.versions }
 
-// Accept applies versions that arrived from the store or a member, and passes
-// on to peers those that are news. Changed reports whether any was. Errors of
-// entries that are not accepted are returned beside.
+// Accept applies versions that arrived from the store or from the member from. It
+// returns the messages that push those that are newer than the ones in force to peers,
+// whether there was any, and the errors of invalid entries.
 func (c *Catalogue) Accept(vs []catalogue.Version, from string, peers []string) (out []Send, changed bool, errs []error) {
-	var news []catalogue.Version
+	var newer []catalogue.Version
 	for _, v := range vs {
 		o, err := c.versions.Apply(v)
-		c.note(o)
+		c.countOutcome(o)
 		if err != nil {
 			errs = append(errs, err)
 		}
 		if o != catalogue.Stale {
-			news = append(news, v)
+			newer = append(newer, v)
 		}
 	}
-	if len(news) == 0 {
+	if len(newer) == 0 {
 		return nil, false, errs
 	}
-	return c.push(news, from, peers), true, errs
+	return c.push(newer, from, peers), true, errs
 }
 
-func (c *Catalogue) note(o catalogue.Outcome) {
+func (c *Catalogue) countOutcome(o catalogue.Outcome) {
 	switch o {
 	case catalogue.Accepted:
 		c.Count.Accepted++
@@ -85,17 +85,17 @@
 	}
 }
 
-func (c *Catalogue) push(news []catalogue.Version, except string, peers []string) []Send {
+func (c *Catalogue) push(newer []catalogue.Version, except string, peers []string) []Send {
 	var to []string
 	for _, p := range peers {
 		if p != except && p != c.self {
 			to = append(to, p)
 		}
 	}
-	c.rnd.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+	c.random.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 	var out []Send
 	for i := 0; i < len(to) && i < fanout; i++ {
-		for _, part := range split(news) {
+		for _, part := range split(newer) {
 			out = append(out, Send{to[i], c.message(wire.Push, part)})
 		}
 	}
@@ -119,29 +119,29 @@
 	return append(out, vs[from:])
 }
 
-// Stamp puts the digest on a heartbeat.
+// Stamp adds the digest and the highest index of the catalogue to a heartbeat.
 func (c *Catalogue) Stamp(m *wire.Message) {
 	m.Digest = c.versions.Digest()
 	m.High = c.versions.High()
 }
 
-// Compare looks at a heartbeat's digest and asks its sender for what is
-// missing: first only for what is above the own highest index, and when that
-// did not help, with a list of everything held.
+// Compare returns the pull to send if the digest of a heartbeat differs. The first pull
+// asks only for versions above the own highest index. If the digests still differ
+// after that, the next one contains the index of every entry.
 func (c *Catalogue) Compare(now time.Duration, m *wire.Message) []Send {
 	if m.Digest == c.versions.Digest() || m.High == 0 {
-		c.fullNext = false
+		c.nextPullFull = false
 		return nil
 	}
-	if c.pulled && now-c.pulledAt < pullPause {
+	if c.pulled && now-c.lastPull < pullInterval {
 		return nil
 	}
-	c.pulled, c.pulledAt = true, now
+	c.pulled, c.lastPull = true, now
 	c.Count.Pulls++
 	msg := c.message(wire.Pull, nil)
-	if m.High > c.versions.High() && !c.fullNext {
+	if m.High > c.versions.High() && !c.nextPullFull {
 		msg.Above = max(c.versions.High(), 1)
-		c.fullNext = true
+		c.nextPullFull = true
 		return []Send{{m.From, msg}}
 	}
 	msg.Full = true
@@ -149,7 +149,7 @@
 	return []Send{{m.From, msg}}
 }
 
-// Have returns the index of every entry held, for a complete Pull.
+// Have returns the index of every entry, for a full Pull.
 func (c *Catalogue) Have() map[string]uint64 {
 	have := map[string]uint64{}
 	for _, v := range c.versions.All() {
@@ -158,7 +158,7 @@
 	return have
 }
 
-// Answer returns the versions that a Pull asks for.
+// Answer returns the messages with the versions that a Pull asks for.
 func (c *Catalogue) Answer(m *wire.Message) []Send {
 	var vs []catalogue.Version
 	for _, v := range c.versions.All() {
@@ -176,10 +176,11 @@
 	return out
 }
 
-// VersionsFromListing turns a complete listing of a part of the store, taken at index,
-// into versions: entries of that part which are missing from it were deleted,
-// but only if the listing is newer than all of the part that is known. A listing
-// of a rewound store says nothing.
+// VersionsFromListing converts a complete listing of a part of the store, taken at
+// index, to versions. Known entries of that part that are missing from the listing are
+// returned as deleted, but only if the listing is newer than every known version of the
+// part: in a store that was restored from a backup, a missing entry need not have been
+// deleted.
 func (c *Catalogue) VersionsFromListing(index uint64, entries []catalogue.Version, part func(name string) bool) []catalogue.Version {
 	listed := map[string]bool{}
 	for _, v := range entries {
--- a/internal/converge/converge_test.go
+++ b/internal/converge/converge_test.go
@@ -14,7 +14,7 @@
 	return catalogue.Version{Name: name, Index: index, Created: 1, Text: []byte(text)}
 }
 
-func whole(string) bool { return true }
+func anyName(string) bool { return true }
 
 func names(n int) []string {
 	var out []string
@@ -24,9 +24,8 @@
 	return out
 }
 
-// spread delivers messages among members until none is left, and returns how
-// many there were.
-func spread(cs map[string]*Catalogue, out []Send, lost func(Send) bool) int {
+// deliver passes messages between members until none is left, and returns their number.
+func deliver(cs map[string]*Catalogue, out []Send, lost func(Send) bool) int {
 	all := names(len(cs))
 	n := 0
 	for len(out) > 0 {
@@ -50,7 +49,8 @@
 	return cs
 }
 
-// heartbeats lets every member hear of every other one once.
+// heartbeats sends one heartbeat from every member to every other one and exchanges the
+// resulting pulls and pushes.
 func heartbeats(cs map[string]*Catalogue, now time.Duration) {
 	for _, a := range names(len(cs)) {
 		for _, b := range names(len(cs)) {
@@ -66,7 +66,8 @@
 	}
 }
 
-func inForce(cs map[string]*Catalogue, name string, index uint64) int {
+// countInForce returns the number of members that have the version index of an entry.
+func countInForce(cs map[string]*Catalogue, name string, index uint64) int {
 	n := 0
 	for _, c := range cs {
 		if v, ok := c.Versions().Get(name); ok && v.Index == index {
@@ -76,49 +77,49 @@
 	return n
 }
 
-// One reader sees an edit. Without loss the pushes alone bring it to nearly
-// all of 55 members; heartbeats bring it to the rest, and to all when half of
-// the pushes are lost.
+// One reader receives a changed entry. Without loss, pushes alone bring it to nearly all
+// of 55 members; heartbeats bring it to the rest, and to all when half of the pushes are
+// lost.
 func TestChangeReachesAll(t *testing.T) {
 	for _, loss := range []int{0, 2} {
 		cs := fleet(55)
 		out, _, _ := cs["vm-0"].Accept([]catalogue.Version{version("a", 7)}, "", names(55))
 		n := 0
-		messages := spread(cs, out, func(Send) bool { n++; return loss > 0 && n%loss == 0 })
-		pushed := inForce(cs, "a", 7)
+		messages := deliver(cs, out, func(Send) bool { n++; return loss > 0 && n%loss == 0 })
+		pushed := countInForce(cs, "a", 7)
 		heartbeats(cs, time.Second)
-		if got := inForce(cs, "a", 7); got != 55 {
-			t.Fatalf("%d of 55 have it", got)
+		if got := countInForce(cs, "a", 7); got != 55 {
+			t.Fatalf("%d of 55 have the version", got)
 		}
-		t.Logf("%d had it after %d pushes", pushed, messages)
+		t.Logf("%d had the version after %d pushes", pushed, messages)
 	}
 }
 
-// The store is restored from a backup: its index and its entries are older. A
-// restart of the watch must not revert or delete anything.
-func TestRewoundStoreChangesNothing(t *testing.T) {
+// After the store is restored from a backup, its index and its entries are older. The
+// next listing must not revert or delete any entry.
+func TestListingOfRestoredStoreChangesNothing(t *testing.T) {
 	c := New("vm-0", 1)
-	c.Accept(c.VersionsFromListing(20, []catalogue.Version{version("a", 12), version("b", 20)}, whole), "", nil)
+	c.Accept(c.VersionsFromListing(20, []catalogue.Version{version("a", 12), version("b", 20)}, anyName), "", nil)
 	before := c.Versions().Digest()
-	c.Accept(c.VersionsFromListing(11, []catalogue.Version{version("a", 10)}, whole), "", nil)
+	c.Accept(c.VersionsFromListing(11, []catalogue.Version{version("a", 10)}, anyName), "", nil)
 	if c.Versions().Digest() != before {
-		t.Fatal("a rewound listing changed the catalogue")
+		t.Fatal("the listing of a restored store changed the catalogue")
 	}
 }
 
-// An entry is deleted while one member is cut off. Meeting the others again,
-// it must delete the entry too, not bring it back.
-func TestDeletionIsNotUndone(t *testing.T) {
+// An entry is deleted while one member is partitioned. Afterwards that member must
+// delete the entry too, and not bring it back at the others.
+func TestDeletionSurvivesPartition(t *testing.T) {
 	cs := fleet(2)
 	for _, c := range cs {
 		c.Accept([]catalogue.Version{version("a", 12), version("b", 13)}, "", nil)
 	}
-	cs["vm-0"].Accept(cs["vm-0"].VersionsFromListing(30, []catalogue.Version{version("b", 13)}, whole), "", nil)
+	cs["vm-0"].Accept(cs["vm-0"].VersionsFromListing(30, []catalogue.Version{version("b", 13)}, anyName), "", nil)
 	heartbeats(cs, time.Second)
 	heartbeats(cs, time.Hour)
 	for n, c := range cs {
 		if ss, _ := c.Versions().Services(); len(ss) != 1 || ss[0].Name != "b" {
-			t.Errorf("%s has %d entries", n, len(ss))
+			t.Errorf("%s has %d entries, want only b", n, len(ss))
 		}
 	}
 }
