--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -9,7 +9,7 @@
 	}{
 		{Revision{1, 5}, Revision{1, 5}, 0},
 		{Revision{1, 4}, Revision{1, 5}, -1},
-		{Revision{1, 500}, Revision{2, 3}, -1}, // the store came back from an older copy
+		{Revision{1, 500}, Revision{2, 3}, -1}, // the store was restored from an older copy
 		{Revision{0, 9}, Revision{1, 1}, -1},
 		{Revision{2, 1}, Revision{1, 9}, 1},
 	} {
