--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -42,7 +42,7 @@
 		if err != nil && c.edge.boot.Bootstrap {
 			c.first.Bootstrap(now, c.edge.boot.Seeds)
 		} else {
-			c.first.Told(now, s.Balancers, s.Size)
+			c.first.SetSources(now, s.Balancers, s.Size)
 		}
 		c.readIfDue(ctx, now)
 		c.askSources(ctx)
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -68,9 +68,9 @@
 	return &FirstCopy{self: self, lot: lot}
 }
 
-// Told takes the sources of the own data centre and its size. Without any, or if the
+// SetSources takes the sources of the own data centre and its size. Without any, or if the
 // store did not tell them, the balancer lists the store at once.
-func (f *FirstCopy) Told(now time.Duration, sources []netip.AddrPort, size int) {
+func (f *FirstCopy) SetSources(now time.Duration, sources []netip.AddrPort, size int) {
 	f.wait(now, sources, sourcePatience+time.Duration(f.lot*float64(size))*listingTime)
 }
 
--- a/internal/replica/firstcopy_test.go
+++ b/internal/replica/firstcopy_test.go
@@ -72,21 +72,21 @@
 		if f.MayList(0) {
 			t.Error("lists before the store was asked for sources")
 		}
-		f.Told(0, nil, 0)
+		f.SetSources(0, nil, 0)
 		if _, ok := f.Ask(); ok || !f.MayList(0) {
 			t.Error("does not list")
 		}
 	})
 	t.Run("lists at once as a source", func(t *testing.T) {
 		f := NewFirstCopy(self, 0.5)
-		f.Told(0, []netip.AddrPort{a, self}, 60)
+		f.SetSources(0, []netip.AddrPort{a, self}, 60)
 		if _, ok := f.Ask(); ok || !f.MayList(0) {
 			t.Error("does not list")
 		}
 	})
 	t.Run("asks each twice while all are silent", func(t *testing.T) {
 		f := NewFirstCopy(self, 0.6)
-		f.Told(0, []netip.AddrPort{a, b}, 60)
+		f.SetSources(0, []netip.AddrPort{a, b}, 60)
 		for _, want := range []netip.AddrPort{b, a, b, a} {
 			if got, ok := f.Ask(); got != want || !ok {
 				t.Errorf("asks %v, want %v", got, want)
@@ -117,7 +117,7 @@
 	})
 	t.Run("asks less and less often", func(t *testing.T) {
 		f := NewFirstCopy(self, 0)
-		f.Told(0, []netip.AddrPort{a, b}, 60)
+		f.SetSources(0, []netip.AddrPort{a, b}, 60)
 		var last time.Duration
 		for range 12 {
 			f.Ask()
--- a/internal/replica/startworld_test.go
+++ b/internal/replica/startworld_test.go
@@ -88,7 +88,7 @@
 	for _, v := range w.vms {
 		w.at(v.start, func() {
 			w.after(storeDelay, func() {
-				v.first.Told(w.now, w.sources(v), w.size/centres)
+				v.first.SetSources(w.now, w.sources(v), w.size/centres)
 				w.ask(v)
 				w.listIfDue(v)
 			})
