--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -68,7 +68,7 @@
 
 // askSource asks the next source, if one is to be asked.
 func (c *control) askSource(ctx context.Context) {
-	from, ok := c.first.Ask()
+	from, ok := c.first.NextSource()
 	if !ok {
 		return
 	}
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -114,8 +114,8 @@
 // MayList reports whether this balancer may list the store.
 func (f *FirstCopy) MayList(now time.Duration) bool { return f.told && now >= f.listAt }
 
-// Ask returns the source to ask next, if not too many answers are owed.
-func (f *FirstCopy) Ask() (netip.AddrPort, bool) {
+// NextSource returns the source to ask next, if not too many answers are owed.
+func (f *FirstCopy) NextSource() (netip.AddrPort, bool) {
 	if f.pending >= owedAnswers*len(f.sources) {
 		return netip.AddrPort{}, false
 	}
--- a/internal/replica/firstcopy_test.go
+++ b/internal/replica/firstcopy_test.go
@@ -73,14 +73,14 @@
 			t.Error("lists before the store was asked for sources")
 		}
 		f.SetSources(0, nil, 0)
-		if _, ok := f.Ask(); ok || !f.MayList(0) {
+		if _, ok := f.NextSource(); ok || !f.MayList(0) {
 			t.Error("does not list")
 		}
 	})
 	t.Run("lists at once as a source", func(t *testing.T) {
 		f := NewFirstCopy(self, 0.5)
 		f.SetSources(0, []netip.AddrPort{a, self}, 60)
-		if _, ok := f.Ask(); ok || !f.MayList(0) {
+		if _, ok := f.NextSource(); ok || !f.MayList(0) {
 			t.Error("does not list")
 		}
 	})
@@ -88,15 +88,15 @@
 		f := NewFirstCopy(self, 0.6)
 		f.SetSources(0, []netip.AddrPort{a, b}, 60)
 		for _, want := range []netip.AddrPort{b, a, b, a} {
-			if got, ok := f.Ask(); got != want || !ok {
+			if got, ok := f.NextSource(); got != want || !ok {
 				t.Errorf("asks %v, want %v", got, want)
 			}
 		}
-		if more, ok := f.Ask(); ok {
+		if more, ok := f.NextSource(); ok {
 			t.Errorf("asks %v while both are silent", more)
 		}
 		f.Failed()
-		if _, ok := f.Ask(); !ok {
+		if _, ok := f.NextSource(); !ok {
 			t.Error("asks nobody after a refusal")
 		}
 	})
@@ -120,7 +120,7 @@
 		f.SetSources(0, []netip.AddrPort{a, b}, 60)
 		var last time.Duration
 		for range 12 {
-			f.Ask()
+			f.NextSource()
 			f.Failed()
 			if f.Pause() < last || f.Pause() > maxSourcePause {
 				t.Fatalf("pause %v after %v", f.Pause(), last)
--- a/internal/replica/startworld_test.go
+++ b/internal/replica/startworld_test.go
@@ -150,7 +150,7 @@
 }
 
 func (w *world) askOne(v *vm) {
-	a, ok := v.first.Ask()
+	a, ok := v.first.NextSource()
 	if !ok {
 		return
 	}
