--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -36,7 +36,7 @@
 	var out []replica.Item
 	for _, i := range news {
 		if c.knowsNewer(i) {
-			c.settling.Hold(i.Key)
+			c.settling.Defer(i.Key)
 			continue
 		}
 		out = append(out, i)
--- a/internal/replica/settling.go
+++ b/internal/replica/settling.go
@@ -41,8 +41,8 @@
 // Left returns for how long the store may still lack something.
 func (s *Settling) Left(now time.Duration) time.Duration { return max(s.until-now, 0) }
 
-// Hold puts a key off until the store has settled.
-func (s *Settling) Hold(key string) {
+// Defer puts a key off until the store has settled.
+func (s *Settling) Defer(key string) {
 	if s.held == nil {
 		s.held = map[string]bool{}
 	}
--- a/internal/replica/settling_test.go
+++ b/internal/replica/settling_test.go
@@ -15,9 +15,9 @@
 		t.Error("a store that never came back from a copy has to settle")
 	}
 	s.Begin(10*time.Second, length, 8*time.Second)
-	s.Hold("b")
-	s.Hold("a")
-	s.Hold("c")
+	s.Defer("b")
+	s.Defer("a")
+	s.Defer("c")
 	s.Release("b")
 	if got := s.Left(11 * time.Second); got != 2*time.Second {
 		t.Errorf("settles for %v more", got)
@@ -44,7 +44,7 @@
 func TestSettlingTwice(t *testing.T) {
 	var s Settling
 	s.Begin(10*time.Second, 3*time.Second, 8*time.Second)
-	s.Hold("a")
+	s.Defer("a")
 	s.Begin(12*time.Second, 3*time.Second, 11*time.Second)
 	if got := s.Proven(14*time.Second, 13*time.Second); got != 8*time.Second {
 		t.Errorf("the list of targets counts as complete at %v", got)
