--- a/internal/replica/era.go
+++ b/internal/replica/era.go
@@ -6,14 +6,14 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// begin takes the first listing of a later era: nothing of the copy and its history
-// compares with it. It returns what differs by value, removals first.
+// replaceEra starts over with the first listing of a later era, as revisions of different
+// eras are not comparable. It returns the items whose values differ, removals first.
 //
-// Failure: the store comes back from an older copy, and its revisions go back. A copy that
-// goes on by its old revision takes every listing for a late one, and asks for changes
-// after a revision that the store has yet to reach again. It shows as changes that are
-// acknowledged and never come in force.
-func (r *Replica) begin(items []Item, position revision.Revision, proven time.Duration) []Item {
+// Guards against a store that was restored from an older copy, so that its revisions go
+// back. Without this, a replica that goes on with its old revision drops every listing as
+// outdated and asks for changes after a revision that the store has yet to reach again.
+// Changes are then acknowledged but never come into force.
+func (r *Replica) replaceEra(items []Item, position revision.Revision, proven time.Duration) []Item {
 	old := r.items
 	*r = *New(r.significant)
 	out := missing(old, items, position.Number)
@@ -22,7 +22,7 @@
 		if !known {
 			before = Item{Deleted: true}
 		}
-		if r.matters(before, i) {
+		if r.isSignificant(before, i) {
 			out = append(out, i)
 		}
 	}
--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -7,14 +7,15 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// The store comes back from an older copy, with lower revisions. What its listing says is
-// in force from then on, and what it says of later revisions that were given out before.
+// The store is restored from an older copy, with lower revisions. From then on its
+// listing is in force, including changes with revisions that the earlier era had used
+// already.
 func TestStoreComesBackFromOlderCopy(t *testing.T) {
 	r := New(significant)
 	first, second := revision.Revision{Era: 1, Number: 36}, revision.Revision{Era: 2, Number: 30}
 	r.Replace([]Item{put("a", "1", 3), put("b", "1", 35), put("c", "1", 36)}, first, 0)
 	out := r.Replace([]Item{put("a", "1+", 3), put("b", "0", 4), put("d", "1", 30)}, second, 0)
-	if want := []Item{gone("c", 30), put("b", "0", 4), put("d", "1", 30)}; !reflect.DeepEqual(out, want) {
+	if want := []Item{removal("c", 30), put("b", "0", 4), put("d", "1", 30)}; !reflect.DeepEqual(out, want) {
 		t.Errorf("changes %v, want %v", out, want)
 	}
 	if out := r.Apply([]Item{put("a", "2", 33)}, second.At(33), 0); len(out) != 1 {
@@ -25,8 +26,8 @@
 	}
 }
 
-// Answers of the era before are still under way when the store is back: from the store,
-// and from peers that have not heard. None of them changes anything or counts as proof.
+// Answers of the previous era from the store and from peers arrive after the restore.
+// They must change nothing and prove nothing.
 func TestAnswersOfAnEarlierEra(t *testing.T) {
 	r := New(significant)
 	old, now := revision.Revision{Era: 1, Number: 50}, revision.Revision{Era: 2, Number: 30}
@@ -42,8 +43,8 @@
 	}
 }
 
-// A balancer has heard of the new era by its peer's heartbeat only. It needs a whole copy,
-// as the changes that it asks for by its old revision are others.
+// A balancer learns of the new era from a peer's heartbeat. It needs a full copy, as the
+// changes after its old revision belong to another era.
 func TestPeerKnowsALaterEra(t *testing.T) {
 	r, peer := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, revision.Revision{Era: 1, Number: 50}, 0)
--- /dev/null
+++ b/internal/replica/erasimulation_test.go
@@ -0,0 +1,152 @@
+package replica
+
+import (
+	"container/heap"
+	"fmt"
+	"testing"
+	"time"
+
+	"rosedale.dev/rosedale/internal/revision"
+)
+
+// Parameters of the simulated fleet and of the store's outage.
+const (
+	heartbeatInterval = 200 * time.Millisecond // of readers and of the first balancer of each data centre
+	heartbeatDelay    = 2 * time.Millisecond
+	storeDownAt       = time.Second
+	storeUpAt         = 3 * time.Second
+	// listingLimit is the maximum time for which listings may occupy the store's link.
+	listingLimit = 500 * time.Millisecond
+)
+
+// eraSimulation simulates the restore of the store from an older copy. One balancer reads
+// the store for all, the first of each data centre relay its heartbeats, and balancers
+// that are behind fetch a full copy.
+type eraSimulation struct {
+	startSimulation
+	fleet []*member
+	era   int64
+	reads int // reads of the store while it is up
+}
+
+type member struct {
+	*vm
+	copy        *Replica
+	reader      Reader
+	readerHeard time.Duration // when a reader's heartbeat last arrived
+	fetching    bool          // a copy is being fetched
+	nextRead    time.Duration // time of the next read
+	learntAt    time.Duration // when the balancer learnt of the new era
+}
+
+func newEraSimulation(n int) *eraSimulation {
+	w := &eraSimulation{startSimulation: startSimulation{size: n}, era: 1}
+	for i := range n {
+		m := &member{vm: &vm{id: i, link: link{bits: vmLink}}, copy: New(significant)}
+		m.copy.Replace(nil, revision.Revision{Era: 1, Number: 100}, 0)
+		w.fleet = append(w.fleet, m)
+		w.at(time.Duration(i%100)*time.Millisecond, func() { w.tick(m) })
+	}
+	return w
+}
+
+func (w *eraSimulation) centre(m *member) int { return m.id % centres }
+func (w *eraSimulation) rank(m *member) int   { return m.id / centres }
+
+func (w *eraSimulation) tick(m *member) {
+	w.after(100*time.Millisecond, func() { w.tick(m) })
+	served := w.now-m.readerHeard < time.Second && m.readerHeard > 0
+	reads := m.reader.Decide(Place{Centre: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), served)
+	if reads && w.now >= m.nextRead {
+		w.read(m)
+	}
+	if (m.reader.Succeeding() || w.rank(m) == 0) && w.now%heartbeatInterval < 100*time.Millisecond {
+		w.sendHeartbeat(m)
+	}
+}
+
+// read requests changes from the store; in a new era it lists the store.
+func (w *eraSimulation) read(m *member) {
+	up := w.now < storeDownAt || w.now >= storeUpAt
+	m.nextRead = w.now + m.reader.Done(up)
+	if !up {
+		return
+	}
+	w.reads++
+	asked, now := w.now, revision.Revision{Era: w.era, Number: 50 + int64(w.now/time.Millisecond)}
+	if now.Era == m.copy.Position().Era {
+		w.after(storeDelay, func() { m.copy.Apply(nil, now, asked) })
+		return
+	}
+	w.listings++
+	w.after(storeDelay, func() { w.replaceCopy(m, nil, now, asked) })
+}
+
+func (w *eraSimulation) replaceCopy(m *member, items []Item, at revision.Revision, proven time.Duration) {
+	m.copy.Replace(items, at, proven)
+	if m.learntAt == 0 && m.copy.Position().Era == w.era && w.era > 1 {
+		m.learntAt = w.now
+	}
+}
+
+// sendHeartbeat sends a heartbeat to the own data centre. A reader's heartbeat also goes
+// to the first balancer of each other data centre.
+func (w *eraSimulation) sendHeartbeat(m *member) {
+	c := m.copy
+	at, last, history, proven, reading := c.Position(), c.LastChange(), c.History(), w.now-c.Age(w.now), m.reader.Succeeding()
+	for _, o := range w.fleet {
+		near := w.centre(o) == w.centre(m)
+		if o == m || !near && (!reading || w.rank(o) > 0) {
+			continue
+		}
+		w.after(heartbeatDelay, func() {
+			if reading && at.Era >= o.copy.Position().Era && m.id < o.id {
+				o.readerHeard = w.now
+			}
+			if o.copy.Confirm(at, last, history, proven) == Behind && !o.fetching && !o.reader.Succeeding() {
+				w.fetch(o, m)
+			}
+		})
+	}
+}
+
+func (w *eraSimulation) fetch(m, from *member) {
+	m.fetching = true
+	at, proven := from.copy.Position(), w.now-from.copy.Age(w.now)
+	w.at(from.link.send(w.now, w.bytes(copyBytes))+handlingTime, func() {
+		m.fetching = false
+		w.replaceCopy(m, nil, at, proven)
+	})
+}
+
+// The store is down for two seconds and is restored from an older copy. All balancers
+// have to follow it within the 3 s in which changes have to be in force. All read the
+// store again by then, as their replicas are old, and those that do so before a peer has
+// informed them list the store. These listings must not saturate its link.
+func TestFleetFollowsTheStoreIntoANewEra(t *testing.T) {
+	for _, n := range []int{7, 30, 100, 300, 600} {
+		t.Run(fmt.Sprint(n), func(t *testing.T) {
+			w := newEraSimulation(n)
+			w.at(storeUpAt, func() { w.era = 2 })
+			for len(w.queue) > 0 && w.queue[0].at < 8*time.Second {
+				e := heap.Pop(&w.queue).(event)
+				w.now = e.at
+				e.do()
+			}
+			var last time.Duration
+			for _, m := range w.fleet {
+				if m.learntAt == 0 {
+					t.Fatalf("balancer %d stayed in the previous era", m.id)
+				}
+				last = max(last, m.learntAt-storeUpAt)
+			}
+			t.Logf("all followed within %v; %d listings, %d reads", last, w.listings, w.reads)
+			if last > 2500*time.Millisecond {
+				t.Errorf("the last one followed after %v", last)
+			}
+			if busy := time.Duration(float64(w.listings*w.bytes(listBytes)*8) / storeLink * float64(time.Second)); busy > listingLimit {
+				t.Errorf("%d listings take the store's link for %v", w.listings, busy)
+			}
+		})
+	}
+}
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -7,102 +7,108 @@
 )
 
 const (
-	// sourcePatience is how long a balancer that starts leaves the store alone while
-	// the sources of its data centre have not answered. After a loss of all balancers
-	// sources on small VMs take as long to start and to list the store.
-	sourcePatience = 300 * time.Millisecond
-	// listingTime is what a listing takes of the store's link: 0.2 MB of 1 Gbit/s.
-	// Balancers whose sources are all gone list the store one after the other.
+	// listDelay is how long a starting balancer waits for the bootstrap sources of its
+	// data centre before it lists the store itself. After all balancers were lost,
+	// sources on small VMs take that long to start and to list the store.
+	listDelay = 300 * time.Millisecond
+	// listingTime is how long one listing occupies the store's link: 0.2 MB at 1 Gbit/s.
+	// Balancers that have lost all their sources list the store one after the other.
 	listingTime = 1500 * time.Microsecond
-	// sourcePause is how long a source may take before the next one is asked beside it:
-	// what an answer takes on a VM with a sixteenth of a core. One without power
-	// never answers, and the kernel says so after seconds.
+	// hedgeDelay is how long to wait for a source before the next one is asked as well.
+	// An answer takes that long on a VM with a sixteenth of a core. A source without
+	// power never answers, and the kernel reports that only after seconds.
 	//
-	// Gain: with one of three sources without power, the last of 83 balancers got its
-	// copy 0.19 s after its start; asked one after the other, a third of them 0.33 s to
-	// 0.47 s after it.
-	sourcePause = 40 * time.Millisecond
-	// maxSourcePause bounds the pause, which doubles with each round of questions: 300
-	// balancers that ask three small VMs in vain must not keep these from starting.
-	maxSourcePause = 500 * time.Millisecond
-	// owedAnswers is how many questions to a source may wait for an answer. With one, a
-	// balancer that asks while no source has power yet waits until all three questions
-	// time out, though the sources came up meanwhile.
-	owedAnswers = 2
-	// bootstrapPatience and bootstrapSpread say when a balancer of a new fleet lists the
-	// store if the seeds have no copy. Operators let traffic in some ten seconds after.
-	bootstrapPatience = 1500 * time.Millisecond
-	bootstrapSpread   = 1500 * time.Millisecond
-	// bootstrapSettle is how long after its start a balancer of a new fleet knows too few
-	// others to tell its place among them: they register within the first second.
-	bootstrapSettle = 3 * time.Second
+	// With one of three sources without power, the last of 83 balancers got its copy 0.19
+	// s after its start. When sources were asked one after the other, a third of the
+	// balancers got it only after 0.33 s to 0.47 s.
+	hedgeDelay = 40 * time.Millisecond
+	// maxHedgeDelay bounds the delay, which doubles with each round of requests: 300
+	// balancers that ask three small VMs in vain must not slow down the start of these.
+	maxHedgeDelay = 500 * time.Millisecond
+	// maxPendingPerSource bounds the unanswered requests to a source. With one, a
+	// balancer that asks before any source has power waits until the requests to all
+	// three have timed out, even if the sources have come up in the meantime.
+	maxPendingPerSource = 2
+	// bootstrapListDelay and bootstrapListSpread determine when a balancer of a new fleet
+	// lists the store if the seeds have no copy. Operators admit traffic about ten
+	// seconds later.
+	bootstrapListDelay  = 1500 * time.Millisecond
+	bootstrapListSpread = 1500 * time.Millisecond
+	// bootstrapRankDelay is how long after its start a balancer of a new fleet knows too
+	// few others to determine its rank among them. Balancers register within the first
+	// second.
+	bootstrapRankDelay = 3 * time.Second
 )
 
-// FirstCopy decides from where a balancer that has just started takes its first copy
-// of the store: the sources of a data centre list the store, the others take a packed
-// copy from these.
+// FirstCopy decides where a starting balancer gets its first copy of the store. The
+// bootstrap sources of a data centre list the store, the other balancers fetch a packed
+// copy from them.
 //
-// Failure: all balancers of a large fleet start at once, as after a loss of power, and
-// all list the store. It shows as listings that share the store's link, so that each
-// takes as long as all together (353 listings of 1,074 items: 0.5 s of 1 Gbit/s) while
-// callers wait. With few listings the link is free for these, and a packed copy is a
-// tenth as long (TestAllStartAtOnce). A balancer that finds no source to answer lists the
-// store as well, later than the sources, and spread over the time that all of them take.
+// Guards against all balancers of a large fleet listing the store when they start at
+// once, for example after a power failure. The listings share the store's link, so that
+// each takes as long as all together (353 listings of 1,074 items: 0.5 s at 1 Gbit/s)
+// while callers wait. A packed copy has a tenth of the size of a listing
+// (TestAllStartAtOnce). A balancer that gets no answer from any source also lists the
+// store, but later than the sources, and spread over the time that all such listings
+// take.
 //
-// Gain: nine tenths of 295 balancers, most with a sixteenth of a core, were ready 0.17
-// instead of 0.55 s after their start.
+// With sources, 90% of 295 balancers, most with a sixteenth of a core, were ready 0.17 s
+// after their start instead of 0.55 s.
 type FirstCopy struct {
-	self    netip.AddrPort
-	lot     float64
-	sources []netip.AddrPort
-	turn    int // questions so far
-	pending int // those without an answer
-	told    bool
-	settled time.Duration // when this balancer's place among the others is known
-	listAt  time.Duration // when this balancer may list the store itself
+	self        netip.AddrPort
+	jitter      float64
+	sources     []netip.AddrPort
+	requests    int // requests so far
+	pending     int // unanswered requests
+	initialized bool
+	rankKnownAt time.Duration // when this balancer knows its rank
+	listAt      time.Duration // from when on this balancer may list the store
 }
 
-// NewFirstCopy returns the decisions of the balancer at self. lot, below 1, is drawn by
-// lot for each start.
-func NewFirstCopy(self netip.AddrPort, lot float64) *FirstCopy {
-	return &FirstCopy{self: self, lot: lot}
+// NewFirstCopy returns the state of a balancer that starts at the address self. jitter is
+// a random number in [0, 1), drawn anew at each start.
+func NewFirstCopy(self netip.AddrPort, jitter float64) *FirstCopy {
+	return &FirstCopy{self: self, jitter: jitter}
 }
 
-// SetSources takes the sources of the own data centre and its size. Without any, or if the
-// store did not tell them, the balancer lists the store at once.
+// SetSources sets the bootstrap sources of the balancer's data centre and the number of
+// balancers there. Without any sources, or if the store did not return them, the balancer
+// lists the store at once.
 func (f *FirstCopy) SetSources(now time.Duration, sources []netip.AddrPort, size int) {
-	f.wait(now, sources, sourcePatience+time.Duration(f.lot*float64(size))*listingTime)
+	f.start(now, sources, listDelay+time.Duration(f.jitter*float64(size))*listingTime)
 }
 
-// Bootstrap takes the place of Told in a fleet that starts for the first time: no
-// sources are known yet, and nobody waits. The seeds list the store for the others.
+// Bootstrap is called instead of SetSources when a fleet starts for the first time: no
+// sources are known yet and no caller waits. The seeds list the store for the others.
 //
-// Gain: the first start of 295 balancers and the 34 s after it took 907 instead of 1,410
-// calls of the store.
+// With this, the first start of 295 balancers and the 34 s after it took 907 store calls
+// instead of 1,410.
 func (f *FirstCopy) Bootstrap(now time.Duration, seeds []netip.AddrPort) {
-	f.settled = now + bootstrapSettle
-	f.wait(now, seeds, bootstrapPatience+time.Duration(f.lot*float64(bootstrapSpread)))
+	f.rankKnownAt = now + bootstrapRankDelay
+	f.start(now, seeds, bootstrapListDelay+time.Duration(f.jitter*float64(bootstrapListSpread)))
 }
 
-// wait has the sources asked first, and the store listed after a while.
-func (f *FirstCopy) wait(now time.Duration, sources []netip.AddrPort, patience time.Duration) {
-	f.told = true
+// start sets the sources to ask and, unless this balancer is a source itself, the delay
+// after which it lists the store.
+func (f *FirstCopy) start(now time.Duration, sources []netip.AddrPort, delay time.Duration) {
+	f.initialized = true
 	f.listAt = now
 	if len(sources) == 0 || slices.Contains(sources, f.self) {
 		return
 	}
-	first := int(f.lot * float64(len(sources)))
+	first := int(f.jitter * float64(len(sources)))
 	f.sources = slices.Concat(sources[first:], sources[:first])
-	f.listAt += patience
+	f.listAt += delay
 }
 
-// Place returns this balancer's place among those that read the store, as its copy has it.
+// Place returns this balancer's place in the order of readers, given its place according
+// to its replica.
 //
-// Failure: the balancers of a new fleet know nobody when they start, and each takes itself
-// for the first. It shows as several reads by each of them. Until they know one another
-// the seeds read for all.
+// The balancers of a new fleet know no others when they start, so each would take itself
+// for the first reader and read the store several times. Until they know each other, only
+// the seeds read.
 func (f *FirstCopy) Place(now time.Duration, p Place) Place {
-	if now < f.settled && f.HasSources() {
+	if now < f.rankKnownAt && f.HasSources() {
 		return LastPlace
 	}
 	return p
@@ -112,28 +118,30 @@
 func (f *FirstCopy) HasSources() bool { return len(f.sources) > 0 }
 
 // MayList reports whether this balancer may list the store.
-func (f *FirstCopy) MayList(now time.Duration) bool { return f.told && now >= f.listAt }
+func (f *FirstCopy) MayList(now time.Duration) bool { return f.initialized && now >= f.listAt }
 
-// NextSource returns the source to ask next, if not too many answers are owed.
+// NextSource returns the source to ask next. It returns false if too many requests are
+// unanswered.
 func (f *FirstCopy) NextSource() (netip.AddrPort, bool) {
-	if f.pending >= owedAnswers*len(f.sources) {
+	if f.pending >= maxPendingPerSource*len(f.sources) {
 		return netip.AddrPort{}, false
 	}
-	a := f.sources[f.turn%len(f.sources)]
-	f.turn++
+	a := f.sources[f.requests%len(f.sources)]
+	f.requests++
 	f.pending++
 	return a, true
 }
 
-// Pause returns when to ask the next source after the last one, if no answer comes.
+// Pause returns how long to wait for an answer to the last request before the next source
+// is asked as well.
 func (f *FirstCopy) Pause() time.Duration {
-	round := max(f.turn-1, 0) / max(len(f.sources), 1)
-	return min(sourcePause<<min(round, 4), maxSourcePause)
+	round := max(f.requests-1, 0) / max(len(f.sources), 1)
+	return min(hedgeDelay<<min(round, 4), maxHedgeDelay)
 }
 
-// Failed notes that a source had no copy or did not answer, and reports whether to ask
-// the next one at once: those that have not been asked yet.
+// Failed records that a source had no copy or did not answer. It reports whether to ask
+// the next source at once, which is the case until each has been asked once.
 func (f *FirstCopy) Failed() bool {
 	f.pending--
-	return f.turn < len(f.sources)
+	return f.requests < len(f.sources)
 }
--- a/internal/replica/gap.go
+++ b/internal/replica/gap.go
@@ -1,17 +1,17 @@
 package replica
 
-// maxGaps is the number of gaps that are remembered. Peers that are in an older one take
-// all items.
+// maxGaps is the number of gaps that are remembered. Peers whose position is in an older
+// gap fetch all items.
 const maxGaps = 8
 
-// gap is a part of the store's history that a listing has jumped over, between two
-// revisions.
+// gap is the part of the store's history between two revisions that a listing has
+// skipped.
 type gap struct{ from, to int64 }
 
-// has reports whether what followed on a revision is in the gap.
-func (g gap) has(revision int64) bool { return revision > g.from && revision < g.to }
+// contains reports whether changes that follow the revision are in the gap.
+func (g gap) contains(revision int64) bool { return revision > g.from && revision < g.to }
 
-// History returns the revision after which all changes that mattered are known here.
+// History returns the revision after which this replica knows all significant changes.
 func (r *Replica) History() int64 {
 	if len(r.gaps) == 0 {
 		return r.logFrom
@@ -19,8 +19,8 @@
 	return max(r.logFrom, r.gaps[len(r.gaps)-1].to)
 }
 
-// jump notes a gap.
-func (r *Replica) jump(g gap) {
+// addGap records a gap.
+func (r *Replica) addGap(g gap) {
 	r.gaps = append(r.gaps, g)
 	if len(r.gaps) > maxGaps {
 		r.logFrom = max(r.logFrom, r.gaps[0].to)
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -10,35 +10,35 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// history is the store: all writes in order, of which it may have dropped the older. It
-// may come back from an older copy, as another era.
+// history models the store: all writes in order, of which the older ones may be
+// compacted. The store may be restored from an older copy, which begins another era.
 type history struct {
-	items []Item   // the i-th has revision i+1
-	past  [][]Item // those of earlier eras
-	kept  int64    // changes up to here are no longer told
+	items     []Item   // the item at index i has revision i+1
+	past      [][]Item // items of earlier eras
+	compacted int64    // changes up to this revision are not available
 }
 
 func (h *history) era() int64 { return int64(len(h.past)) }
 
-// of returns the writes of an era.
-func (h *history) of(era int64) []Item {
+// writesOf returns the writes of an era.
+func (h *history) writesOf(era int64) []Item {
 	if era == h.era() {
 		return h.items
 	}
 	return h.past[era]
 }
 
-// comeBack loses the last writes. Their revisions are given out again.
-func (h *history) comeBack(rng *rand.Rand) {
+// restore drops the last writes, so that their revisions are used again.
+func (h *history) restore(rng *rand.Rand) {
 	h.past = append(h.past, h.items)
 	h.items = slices.Clone(h.items[:rng.Int64N(h.last()+1)])
-	h.kept = min(h.kept, h.last())
+	h.compacted = min(h.compacted, h.last())
 }
 
-// at returns what existed at a revision.
+// at returns the items that existed at a revision.
 func (h *history) at(r revision.Revision) map[string]Item {
 	out := map[string]Item{}
-	for _, i := range h.of(r.Era)[:r.Number] {
+	for _, i := range h.writesOf(r.Era)[:r.Number] {
 		out[i.Key] = i
 		if i.Deleted {
 			delete(out, i.Key)
@@ -52,14 +52,15 @@
 // now returns the store's revision.
 func (h *history) now() revision.Revision { return revision.Revision{Era: h.era(), Number: h.last()} }
 
-// write adds a random write: a heartbeat, a change, a removal or a key that comes back.
+// write appends a random write: a heartbeat, a change, a removal or a removed key that
+// returns.
 func (h *history) write(rng *rand.Rand) {
 	rev := h.last() + 1
 	key := strconv.Itoa(rng.IntN(4))
 	old, exists := h.at(h.now())[key]
 	switch {
 	case exists && rng.IntN(3) == 0:
-		h.items = append(h.items, gone(key, rev))
+		h.items = append(h.items, removal(key, rev))
 	case exists && rng.IntN(2) == 0:
 		h.items = append(h.items, put(key, strings.TrimSuffix(string(old.Value), "+")+"+", rev))
 	default:
@@ -67,12 +68,12 @@
 	}
 }
 
-// answer is what a copy asked for and has not got yet.
+// answer applies a requested answer that has not arrived yet.
 type answer func(*Replica)
 
-// read asks the store for a copy, as a reader does.
+// read requests changes or a listing from the store, as a reader does.
 func (h *history) read(r *Replica, rng *rand.Rand) answer {
-	if p := r.Position(); r.Loaded() && p.Era == h.era() && p.Number >= h.kept {
+	if p := r.Position(); r.Loaded() && p.Era == h.era() && p.Number >= h.compacted {
 		items, at := h.items[p.Number:], h.now()
 		return func(r *Replica) { r.Apply(items, at, 0) }
 	}
@@ -80,8 +81,8 @@
 	return func(r *Replica) { r.Replace(all, at, 0) }
 }
 
-// list returns pages of the store and its revision before the first one. The later
-// pages may be newer, as writes go on between them.
+// list returns the pages of a listing and the store's revision before the first page.
+// Later pages may be newer, as writes go on between them.
 func (h *history) list(rng *rand.Rand) ([]Item, revision.Revision) {
 	at := h.now()
 	var all []Item
@@ -96,9 +97,10 @@
 	return all, at
 }
 
-// ask has a copy take another one's word, and ask for what it lacks: always if the
-// other one's balancer reads the store.
-func ask(from, to *Replica, reading bool) answer {
+// requestChanges passes the report of from to to, and requests the changes that to lacks.
+// A copy whose freshness is unproven requests them only if the balancer of from reads the
+// store.
+func requestChanges(from, to *Replica, reading bool) answer {
 	if !from.Loaded() {
 		return nil
 	}
@@ -120,11 +122,11 @@
 	return func(r *Replica) { r.Merge(items, at, 0) }
 }
 
-// A store forgets its history, registrations lapse and come back, and some balancers
-// list while others follow changes. Whatever a copy says it is complete up to, it must
-// hold what the store held then. One that lacks a registration resets the flows of a
-// target that lives. The store also comes back from older copies of itself, while answers
-// of earlier eras are still under way.
+// The store compacts its history, registrations expire and return, some balancers list
+// the store while others follow changes, and the store is restored from older copies
+// while answers of earlier eras are in transit. A copy must hold exactly what the store
+// held at the position up to which it claims to be complete. A balancer that lacks a
+// registration resets the flows of a live target.
 func TestCopiesHoldWhatTheyClaim(t *testing.T) {
 	for seed := range uint64(5000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -142,7 +144,7 @@
 			case 3, 4, 5:
 				waiting[a] = append(waiting[a], h.read(copies[a], rng))
 			case 6, 7, 8:
-				if x := ask(copies[a], copies[b], rng.IntN(2) == 0); x != nil {
+				if x := requestChanges(copies[a], copies[b], rng.IntN(2) == 0); x != nil {
 					waiting[b] = append(waiting[b], x)
 				}
 			case 9, 10, 11:
@@ -152,16 +154,16 @@
 					waiting[a] = slices.Delete(waiting[a], i, i+1)
 				}
 			case 12:
-				h.kept = h.last()
+				h.compacted = h.last()
 			case 13:
-				copies[a], waiting[a] = New(significant), nil // its balancer starts again
+				copies[a], waiting[a] = New(significant), nil // the balancer restarts
 			case 14:
 				if rng.IntN(4) == 0 {
-					h.comeBack(rng)
+					h.restore(rng)
 				}
 			}
 			for i, r := range copies {
-				if missing := lacks(r, h); missing != "" {
+				if missing := mismatch(r, h); missing != "" {
 					t.Fatalf("seed %d: copy %d at position %v: %s", seed, i, r.Position(), missing)
 				}
 			}
@@ -169,8 +171,9 @@
 	}
 }
 
-// lacks compares a copy with the store at the copy's position.
-func lacks(r *Replica, h *history) string {
+// mismatch compares a copy with the store at the copy's position. It returns an empty
+// string if they match.
+func mismatch(r *Replica, h *history) string {
 	if !r.Loaded() {
 		return ""
 	}
@@ -178,7 +181,7 @@
 	for _, i := range r.All() {
 		x, ok := want[i.Key]
 		if i.Revision > r.Position().Number {
-			delete(want, i.Key) // it is ahead, from a later page
+			delete(want, i.Key) // newer than the position, from a later page
 			continue
 		}
 		if !ok {
@@ -190,8 +193,8 @@
 		delete(want, i.Key)
 	}
 	for k := range want {
-		if slices.ContainsFunc(h.of(r.Position().Era)[r.Position().Number:], func(i Item) bool { return i.Key == k && i.Deleted }) {
-			continue // removed before a later page
+		if slices.ContainsFunc(h.writesOf(r.Position().Era)[r.Position().Number:], func(i Item) bool { return i.Key == k && i.Deleted }) {
+			continue // removed before a later page was read
 		}
 		return "key " + k + " is missing"
 	}
--- a/internal/replica/item.go
+++ b/internal/replica/item.go
@@ -1,13 +1,13 @@
-// Package replica keeps a balancer's copy of the platform's store: which items
-// there are, up to which revision the copy is complete, when that was last known
-// to be current, and who reads the store for a data centre. It is pure: items
-// and the time go in.
+// Package replica keeps a balancer's replica of the platform's store. It tracks the
+// items, the revision up to which the replica is complete, when it was last known to be
+// current, and which balancer reads the store for a data centre. The package performs no
+// I/O: items and the time are passed in.
 package replica
 
-// Item is a key of the store as it was last written, or its removal.
+// Item is the last write of a key of the store, or its removal.
 type Item struct {
 	Key      string `cbor:"1,keyasint"`
 	Value    []byte `cbor:"2,keyasint,omitempty"`
-	Revision int64  `cbor:"3,keyasint"` // of the store, when the item was written
+	Revision int64  `cbor:"3,keyasint"` // store revision of the write
 	Deleted  bool   `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -1,13 +1,13 @@
 package replica
 
-// Since returns the changes that matter after a revision, and false if they are
-// no longer kept, so that all items have to be taken.
+// Since returns the significant changes after a revision. It returns false if they are no
+// longer kept, so that the peer has to fetch all items.
 func (r *Replica) Since(after int64) ([]Item, bool) {
 	if after < r.logFrom {
 		return nil, false
 	}
 	for _, g := range r.gaps {
-		if g.has(after) {
+		if g.contains(after) {
 			return nil, false
 		}
 	}
@@ -20,14 +20,14 @@
 	return out, true
 }
 
-// note puts a change into the log.
-func (r *Replica) note(i Item) {
+// appendLog appends a change to the log.
+func (r *Replica) appendLog(i Item) {
 	r.lastChange = max(r.lastChange, i.Revision)
 	r.log = append(r.log, i)
 	if len(r.log) <= 2*logLength {
 		return
 	}
-	// Items of a listing come in the order of their keys.
+	// Items of a listing are ordered by key, not by revision.
 	for _, old := range r.log[:logLength] {
 		r.logFrom = max(r.logFrom, old.Revision)
 	}
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -2,81 +2,80 @@
 
 import "time"
 
-// Limits of who reads the store. A copy is current if it is at most as old as
-// a read, its answer and two heartbeats between balancers take: 400 + 350 + 2 *
-// 200 ms when the store is 80 times slower than usual.
+// Parameters of reader selection. A replica counts as current if it is not older than the
+// time that a read, its answer and two heartbeats between balancers take: 400 + 350 + 2 *
+// 200 ms when the store responds 80 times slower than normal.
 const (
-	// ReadInterval is the time between two reads of a reader.
+	// ReadInterval is the time between two reads by the same reader.
 	ReadInterval = 400 * time.Millisecond
-	// firstLimit is the age of the copy at which the next in rank reads too.
-	firstLimit = 1300 * time.Millisecond
-	// centreStep is added for each data centre that comes first, so that the
-	// loss of the reader brings one successor.
+	// takeoverAge is the age of the replica at which the next balancer in rank starts to
+	// read.
+	takeoverAge = 1300 * time.Millisecond
+	// centreStep is added for each data centre that precedes this one, so that only one
+	// balancer takes over when the reader is lost.
 	centreStep = 100 * time.Millisecond
-	// lastCentre takes all later data centres together.
+	// lastCentre is the highest data centre position that is distinguished.
 	lastCentre = 4
 	// rankStep is added for each rank in the data centre.
 	rankStep = 250 * time.Millisecond
-	// lastRank takes all later ranks together: the bound on how old a copy may
-	// get for a balancer that hears nobody is then 2.45 s, below the 3 s in
-	// which changes have to be in force.
+	// lastRank is the highest rank that is distinguished. It bounds the age of the
+	// replica of a balancer that hears no others to 2.45 s, below the 3 s in which
+	// changes have to be in force.
 	lastRank = 3
-	// MaxReadInterval bounds the pause after failed reads.
+	// MaxReadInterval bounds the interval after failed reads.
 	MaxReadInterval = 1600 * time.Millisecond
 )
 
-// Reader decides whether this balancer reads the store. Balancers are ranked
-// alike everywhere; the first one reads, the others hear from it and take over
-// when what they hear gets old: the first of each data centre before the others.
+// Reader decides whether this balancer reads the store. All balancers agree on the same
+// order. The first one reads, and the others follow its heartbeats and take over when
+// their replica gets old: the first balancer of each data centre before the others.
 //
-// Gain: with a reader in each of 3 data centres 330 of 414 calls in 44 s were
-// their reads.
+// With a reader in each of 3 data centres, reads made up 330 of 414 store calls in 44 s.
 type Reader struct {
 	reading bool
-	failed  int // reads in a row
+	failed  int // consecutive failed reads
 }
 
-// Reading reports whether this balancer read the store at the last decision.
+// Reading reports whether the last decision was to read the store.
 func (r *Reader) Reading() bool { return r.reading }
 
-// Place is a balancer's place in the order of readers.
+// Place is a balancer's position in the order of readers.
 type Place struct {
-	Centre int // data centres that come first
-	Rank   int // balancers of the own data centre that come first
+	Centre int // number of data centres before this one
+	Rank   int // number of balancers before this one in its data centre
 }
 
-// LastPlace comes after all others.
+// LastPlace is the end of the order.
 var LastPlace = Place{Centre: lastCentre, Rank: lastRank}
 
-// Decide returns whether to read now. age is the copy's, and served tells
-// whether a balancer that comes before this one reads the store with success.
+// Decide returns whether to read now. age is the age of the replica. hasActiveReader
+// tells whether a balancer earlier in the order reads the store successfully.
 //
-// Failure: a balancer once had to read, its own reads fail, and it goes on with
-// them although others keep it current. It shows as a copy that stays old on one
-// balancer alone. A reader whose reads fail stops as long as its copy is fresh.
-func (r *Reader) Decide(p Place, age time.Duration, served bool) bool {
+// Guards against a balancer that had to read once and keeps retrying failed reads
+// although others could keep its replica current; that replica alone then stays old. A
+// reader whose reads fail therefore stops while its replica is fresh.
+func (r *Reader) Decide(p Place, age time.Duration, hasActiveReader bool) bool {
 	switch {
 	case p == Place{}:
 		r.reading = true
-	case served, r.failed > 0 && age <= p.limit():
+	case hasActiveReader, r.failed > 0 && age <= p.maxAge():
 		r.reading = false
-	case age > p.limit():
+	case age > p.maxAge():
 		r.reading = true
 	}
 	return r.reading
 }
 
-// Succeeding reports whether this balancer reads the store and its last read
-// succeeded: others need not tell it what is new.
+// Succeeding reports whether this balancer reads the store and its last read succeeded.
+// Such a balancer needs no updates from others.
 func (r *Reader) Succeeding() bool { return r.reading && r.failed == 0 }
 
-func (p Place) limit() time.Duration {
-	return firstLimit + time.Duration(min(p.Centre, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
+func (p Place) maxAge() time.Duration {
+	return takeoverAge + time.Duration(min(p.Centre, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
 }
 
-// Done takes the outcome of a read and returns the pause before the next one.
-// Failed reads are repeated less and less often: calls that the store refuses
-// are priced too.
+// Done records the outcome of a read and returns the pause before the next one. The pause
+// grows with each failed read, because calls that the store refuses are billed too.
 func (r *Reader) Done(ok bool) time.Duration {
 	if ok {
 		r.failed = 0
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// logLength is the number of changes kept for peers that lag. A peer that
-	// lags further takes all items.
+	// logLength is the number of changes kept for peers that lag behind. A peer that lags
+	// further fetches all items.
 	logLength = 1024
-	// removedMemory is the number of revisions for which a removal is
-	// remembered, so that an older listing does not bring the item back.
-	removedMemory = 100000
+	// removalRetention is the number of revisions for which a removal is remembered, so
+	// that an older listing does not restore the item.
+	removalRetention = 100000
 )
 
-// neverLoaded is the age of a copy that was never loaded: longer than any limit.
+// neverLoaded is the age reported for a replica that was never loaded. It exceeds all
+// limits.
 const neverLoaded = time.Hour
 
-// Replica is the copy. It is not safe for concurrent use.
+// Replica is a replica of the store. It is not safe for concurrent use.
 type Replica struct {
-	// significant reports whether a change matters to balancers: most writes
-	// are heartbeats that change nothing else.
+	// significant reports whether a change matters to balancers. Most writes only renew a
+	// heartbeat.
 	significant func(key string, old, new []byte) bool
 	items       map[string]Item
 	log         []Item
-	logFrom     int64 // the log holds all significant changes after this revision
-	gaps        []gap // but for those in these
+	logFrom     int64 // log holds all significant changes after this revision,
+	gaps        []gap // except for those in these gaps
 	lastChange  int64 // revision of the last significant change
-	// position is the revision up to which the copy is complete. All numbers here are of
-	// its era.
-	position revision.Revision
-	ahead    int64 // the newest item that was beyond the position when it came
-	// exact tells that nothing is missing that was removed after the position: later
-	// pages of a listing lack such keys.
+	// position is the revision up to which the replica is complete. All revision numbers
+	// in this struct belong to its era.
+	position    revision.Revision
+	newestAhead int64 // highest revision of an item that was newer than the position on arrival
+	// exact tells whether the replica holds every key that existed at its position, also
+	// those that were removed later. After a listing it may not, as the later pages lack
+	// keys that were removed in the meantime.
 	exact  bool
-	proven time.Duration
+	proven time.Duration // when the replica was last known to be current
 	loaded bool
 }
 
@@ -46,13 +48,13 @@
 	return &Replica{significant: significant, items: map[string]Item{}}
 }
 
-// Loaded reports whether the replica has ever held a full listing.
+// Loaded reports whether the replica has ever been filled from a full listing.
 func (r *Replica) Loaded() bool { return r.loaded }
 
-// Position returns the revision up to which the copy is complete.
+// Position returns the revision up to which the replica is complete.
 func (r *Replica) Position() revision.Revision { return r.position }
 
-// Age returns how old the copy may be at most.
+// Age returns an upper bound of the replica's age.
 func (r *Replica) Age(now time.Duration) time.Duration {
 	if !r.loaded {
 		return neverLoaded
@@ -60,49 +62,50 @@
 	return now - r.proven
 }
 
-// After returns the revision after which to ask for changes another balancer whose copy
-// is of an era and knows all of them after the revision history, or 0 if a full copy is
-// needed.
+// After returns the revision after which to request changes from a peer. The peer's
+// replica is of the given era and knows all changes after the revision history. It
+// returns 0 if a full copy is needed.
 //
-// Failure: a listing's later pages are newer than its position, and hold a key that is
-// removed before the other balancer lists the store. It shows as a key that stays for
-// ever, as neither the changes since the position nor that listing tell of it.
+// Guards against the case that the later pages of a listing, which are newer than its
+// position, hold a key that is removed before the peer lists the store. Neither the
+// peer's changes since the position nor its listing show the removal, so the key would
+// stay forever.
 func (r *Replica) After(era, history int64) int64 {
 	number := r.position.Number
-	if !r.loaded || era != r.position.Era || r.ahead > number && history > number {
+	if !r.loaded || era != r.position.Era || r.newestAhead > number && history > number {
 		return 0
 	}
 	return number
 }
 
-// LastChange returns the revision of the last change that mattered.
+// LastChange returns the revision of the last significant change.
 func (r *Replica) LastChange() int64 { return r.lastChange }
 
-// Standing is how a copy compares with another balancer's.
-type Standing int
+// Freshness compares a replica with a peer's.
+type Freshness int
 
-// The standings.
+// Results of a comparison with a peer's replica.
 const (
-	Current  Standing = iota // it has all that the other one has
-	Behind                   // it lacks changes that the other one has
-	Unproven                 // it may lack some, as the other one does not know them all
+	Current  Freshness = iota // it has every change that the peer has
+	Behind                    // it lacks changes that the peer has
+	Unproven                  // it may lack changes, as the peer's history starts too late
 )
 
-// Confirm takes another balancer's word that at the time proven the store was at
-// position, nothing after lastChange mattered, and it knows all changes after the
-// revision history. A copy that has all that is as new as the other one's. A later era
-// leaves every copy of an earlier one behind, whatever their numbers.
+// Confirm evaluates a peer's report. According to the report the store was at position at
+// the time proven, no significant change followed lastChange, and the peer knows all
+// changes after the revision history. A replica that has all of these is as recent as the
+// peer's. A replica of an earlier era is always behind, whatever its revision number.
 //
-// Failure: a balancer was suspended for seconds, which its clock does not show,
-// and says that its old copy is fresh. It shows as a copy that is taken for
-// current while changes are missing. Its position gives it away, as the store's
-// goes on all the time: nobody who is behind can prove anything.
+// Guards against a peer that was suspended for seconds, which its clock does not show,
+// and reports its outdated replica as fresh. This replica would then count as current
+// while it lacks changes. As the store's position advances all the time, a peer with a
+// lower position proves nothing.
 //
-// Failure: a balancer has just listed the store, and a key was removed shortly
-// before. It shows as a target that stays in use on peers which had followed the
-// changes until then, as a listing does not tell of removals. So it proves nothing to
-// copies that are older than its listing.
-func (r *Replica) Confirm(position revision.Revision, lastChange, history int64, proven time.Duration) Standing {
+// Also guards against a peer that listed the store shortly after a key was removed. As a
+// listing does not show removals, the target would stay in use on balancers that had
+// followed the changes before. The report therefore proves nothing to replicas older than
+// the peer's listing.
+func (r *Replica) Confirm(position revision.Revision, lastChange, history int64, proven time.Duration) Freshness {
 	number := r.position.Number
 	switch {
 	case !r.loaded || r.position.Era < position.Era:
@@ -122,45 +125,46 @@
 	return Current
 }
 
-// Apply takes all changes of the store since the copy's position, which complete it up
-// to another one at the time proven. It returns those that matter.
+// Apply applies all changes of the store since the replica's position. They complete it
+// up to the given position at the time proven. It returns the significant ones.
 func (r *Replica) Apply(items []Item, position revision.Revision, proven time.Duration) []Item {
-	return r.follow(items, position, proven, r.matters)
+	return r.applyChanges(items, position, proven, r.isSignificant)
 }
 
-// Merge takes the changes that matter to another balancer since this copy's position.
-// All of them may matter to a third one, whatever they change here.
+// Merge applies the changes since this replica's position that a peer considers
+// significant. It returns all that are new here, as each may be significant to a third
+// balancer.
 func (r *Replica) Merge(items []Item, position revision.Revision, proven time.Duration) []Item {
-	return r.follow(items, position, proven, always)
+	return r.applyChanges(items, position, proven, always)
 }
 
-// follow takes changes unless they come too late, or are of another era than the copy.
-func (r *Replica) follow(items []Item, position revision.Revision, proven time.Duration, news func(old, new Item) bool) []Item {
+// applyChanges applies changes unless they are outdated or belong to another era.
+func (r *Replica) applyChanges(items []Item, position revision.Revision, proven time.Duration, isChange func(old, new Item) bool) []Item {
 	if r.Outdated(position) || position.Era != r.position.Era {
 		return nil
 	}
 	r.exact = true
-	return r.take(items, position.Number, proven, news)
+	return r.store(items, position.Number, proven, isChange)
 }
 
 func always(Item, Item) bool { return true }
 
-// Replace takes a full listing that was complete at position: what it lacks is
-// removed. Items that changed after position stay.
+// Replace applies a full listing that was complete at position. Items that are missing
+// from it are removed unless they changed after position.
 //
-// Failure: a key was removed and written again in the history that the listing jumps
-// over. It changes nothing here, but a peer that followed the history lacks the key, is
-// told of no change, and resets the flows of a target that lives. So all items that are
-// newer than the copy count as changes, and peers in the gap take a full copy, as they
-// may hold keys of which the listing tells nothing.
+// Guards against a key that was removed and written again in the part of the history that
+// the listing skips. Here nothing changes, but a peer that followed the history lacks the
+// key, would not learn of it, and would reset the flows of a live target. All items newer
+// than the replica therefore count as changes. Peers whose position is in the gap fetch a
+// full copy, as they may hold keys that are missing from the listing.
 func (r *Replica) Replace(items []Item, position revision.Revision, proven time.Duration) []Item {
 	switch {
 	case r.Outdated(position):
 		return nil
 	case r.loaded && position.Era != r.position.Era:
-		return r.begin(items, position, proven)
+		return r.replaceEra(items, position, proven)
 	}
-	gone := slices.DeleteFunc(missing(r.items, items, position.Number), func(i Item) bool {
+	removals := slices.DeleteFunc(missing(r.items, items, position.Number), func(i Item) bool {
 		return r.items[i.Key].Revision > position.Number
 	})
 	before := r.position.Number
@@ -169,47 +173,47 @@
 		r.position.Era = position.Era
 		r.logFrom = position.Number
 	case position.Number > before && r.exact:
-		r.jump(gap{before, position.Number})
+		r.addGap(gap{before, position.Number})
 	case position.Number > before:
-		r.jump(gap{before - 1, position.Number})
+		r.addGap(gap{before - 1, position.Number})
 	}
 	r.loaded = true
 	r.exact = false
-	return r.take(append(gone, items...), position.Number, proven, func(old, new Item) bool {
-		return new.Revision > before || r.matters(old, new)
+	return r.store(append(removals, items...), position.Number, proven, func(old, new Item) bool {
+		return new.Revision > before || r.isSignificant(old, new)
 	})
 }
 
-// missing returns the removals of what a listing lacks, by their keys.
-func missing(known map[string]Item, listed []Item, position int64) []Item {
-	has := make(map[string]bool, len(listed))
-	for _, i := range listed {
-		has[i.Key] = true
+// missing returns removals for the known items that a listing lacks, ordered by key.
+func missing(known map[string]Item, listing []Item, position int64) []Item {
+	isListed := make(map[string]bool, len(listing))
+	for _, i := range listing {
+		isListed[i.Key] = true
 	}
-	var gone []Item
+	var removals []Item
 	for k, i := range known {
-		if !i.Deleted && !has[k] {
-			gone = append(gone, Item{Key: k, Revision: position, Deleted: true})
+		if !i.Deleted && !isListed[k] {
+			removals = append(removals, Item{Key: k, Revision: position, Deleted: true})
 		}
 	}
-	sort.Slice(gone, func(a, b int) bool { return gone[a].Key < gone[b].Key })
-	return gone
+	sort.Slice(removals, func(a, b int) bool { return removals[a].Key < removals[b].Key })
+	return removals
 }
 
-// Outdated reports whether an answer that is complete up to a revision comes too late,
-// as another one has completed the copy further meanwhile.
+// Outdated reports whether an answer that is complete up to position arrives too late,
+// because another one has already brought the replica further.
 //
-// Failure: a balancer that starts asks the store and a peer that is cut off from it. The
-// store's listing comes first and lacks a registration that has lapsed, then the peer's
-// old copy brings it back. It shows as a target that comes and goes unnoticed, and whose
-// return is not told to peers.
+// Guards against a starting balancer that asks both the store and a peer that is cut off
+// from it. The store's listing arrives first and lacks an expired registration, and the
+// peer's old copy would then bring it back. The target would reappear and vanish again
+// without peers being informed.
 func (r *Replica) Outdated(position revision.Revision) bool {
 	return r.loaded && position.Before(r.position)
 }
 
-// take stores the items that are newer than those known. news tells which of them
-// matter.
-func (r *Replica) take(items []Item, position int64, proven time.Duration, news func(old, new Item) bool) []Item {
+// store stores the items that are newer than the known ones. It returns those that
+// isChange selects.
+func (r *Replica) store(items []Item, position int64, proven time.Duration, isChange func(old, new Item) bool) []Item {
 	var out []Item
 	for _, i := range items {
 		old, known := r.items[i.Key]
@@ -221,16 +225,16 @@
 		}
 		r.items[i.Key] = i
 		if i.Revision > position {
-			r.ahead = max(r.ahead, i.Revision)
+			r.newestAhead = max(r.newestAhead, i.Revision)
 		}
-		changed := news(old, i)
+		changed := isChange(old, i)
 		if changed {
 			out = append(out, i)
 		}
 		if changed || i.Deleted {
-			// A key that was removed while a listing was read is not in it: peers
-			// that had it before need to hear of its end.
-			r.note(i)
+			// A key that was removed while a listing was read is missing from it. Peers
+			// that had the key need the removal.
+			r.appendLog(i)
 		}
 	}
 	r.advance(position)
@@ -238,8 +242,8 @@
 	return out
 }
 
-// matters reports whether a change that follows directly on another one matters.
-func (r *Replica) matters(old, new Item) bool {
+// isSignificant reports whether the change from old to new matters to balancers.
+func (r *Replica) isSignificant(old, new Item) bool {
 	if old.Deleted || new.Deleted {
 		return old.Deleted != new.Deleted
 	}
@@ -252,19 +256,19 @@
 	}
 	r.position.Number = position
 	for k, i := range r.items {
-		if i.Deleted && i.Revision < position-removedMemory {
+		if i.Deleted && i.Revision < position-removalRetention {
 			delete(r.items, k)
 		}
 	}
 }
 
-// Get returns an item that exists.
+// Get returns an item unless it does not exist or was removed.
 func (r *Replica) Get(key string) (Item, bool) {
 	i, ok := r.items[key]
 	return i, ok && !i.Deleted
 }
 
-// All returns all items that exist.
+// All returns all existing items, ordered by key.
 func (r *Replica) All() []Item {
 	out := make([]Item, 0, len(r.items))
 	for _, i := range r.items {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -11,7 +11,7 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// heartbeats end in "+": they change nothing that matters.
+// significant treats writes that only append "+" to the value as heartbeats.
 func significant(_ string, old, new []byte) bool {
 	return !bytes.Equal(bytes.TrimSuffix(old, []byte("+")), bytes.TrimSuffix(new, []byte("+")))
 }
@@ -20,10 +20,10 @@
 	return Item{Key: key, Value: []byte(value), Revision: rev}
 }
 
-// at is a revision of a store that tells no era.
+// at returns a revision of a store that does not report eras.
 func at(number int64) revision.Revision { return revision.Revision{Number: number} }
 
-func gone(key string, rev int64) Item { return Item{Key: key, Revision: rev, Deleted: true} }
+func removal(key string, rev int64) Item { return Item{Key: key, Revision: rev, Deleted: true} }
 
 func TestApplyReturnsWhatMatters(t *testing.T) {
 	r := New(significant)
@@ -36,11 +36,11 @@
 		{"heartbeat", put("a", "1+", 6), false},
 		{"change", put("a", "2", 7), true},
 		{"older change", put("a", "1", 6), false},
-		{"removal", gone("b", 8), true},
-		{"second removal", gone("b", 9), false},
+		{"removal", removal("b", 8), true},
+		{"second removal", removal("b", 9), false},
 		{"older write of a removed key", put("b", "1", 7), false},
 		{"key written again", put("b", "1", 10), true},
-		{"removal of an unknown key", gone("x", 11), false},
+		{"removal of an unknown key", removal("x", 11), false},
 	} {
 		if got := len(r.Apply([]Item{c.item}, at(c.item.Revision), 0)) > 0; got != c.want {
 			t.Errorf("%s: matters %v, want %v", c.name, got, c.want)
@@ -48,13 +48,14 @@
 	}
 }
 
-// The history is gone and everything is listed again. Keys that were removed
-// meanwhile must go, keys that were written while the pages were read must stay.
+// The store has compacted its history, so that everything is listed again. Keys that were
+// removed in the meantime must be removed here, and keys that were written while the
+// pages were read must stay.
 func TestReplaceRemovesWhatIsMissing(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 1), put("b", "1", 2), put("c", "1", 3)}, at(5), 0)
 	out := r.Replace([]Item{put("a", "1", 1), put("c", "2", 12)}, at(10), 0)
-	if want := []Item{gone("b", 10), put("c", "2", 12)}; !reflect.DeepEqual(out, want) {
+	if want := []Item{removal("b", 10), put("c", "2", 12)}; !reflect.DeepEqual(out, want) {
 		t.Errorf("changes %v, want %v", out, want)
 	}
 	if got := r.All(); len(got) != 2 {
@@ -65,8 +66,8 @@
 	}
 }
 
-// A listing comes late, when peers have completed the copy beyond it. What it has is
-// known, and what it lacks was written since.
+// A listing arrives after peers have brought the replica further. What it contains is
+// known already, and what it lacks was written later.
 func TestLateListingChangesNothing(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 1)}, at(5), 0)
@@ -79,8 +80,8 @@
 	}
 }
 
-// A peer says that nothing after a change matters. A copy that has the change is
-// as good as the peer's; one that lacks it must ask.
+// A peer reports the last significant change. A replica that has this change is as recent
+// as the peer's, and one that lacks it must fetch it.
 func TestConfirm(t *testing.T) {
 	r := New(significant)
 	if r.Confirm(at(5), 3, 0, time.Second) != Behind {
@@ -95,37 +96,37 @@
 	}
 }
 
-// A peer that was suspended wakes and tells its old position as if it were fresh.
-// That proves nothing to a copy that is further on.
+// A peer that was suspended resumes and reports its old position as fresh. This proves
+// nothing to a replica with a later position.
 func TestConfirmByOneBehind(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(50), time.Second)
 	if r.Confirm(at(40), 3, 0, 9*time.Second) != Current {
-		t.Error("nothing has to be fetched from a peer behind")
+		t.Error("changes are fetched from a peer that is behind")
 	}
 	if got := r.Age(9 * time.Second); got != 8*time.Second || r.Position() != at(50) {
 		t.Errorf("age %v at position %d", got, r.Position())
 	}
 }
 
-// A peer has just started and listed the store, after a target's registration was
-// removed. It knows of no change since, but that proves nothing: the copy has to hear
-// of the removal from one that followed the changes.
+// A peer has just started and listed the store after a target's registration was removed.
+// It knows no later change, but that proves nothing: the replica has to learn of the
+// removal from a balancer that followed the changes.
 func TestConfirmByOneThatHasJustListed(t *testing.T) {
 	r, fresh := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3), put("b", "1", 4)}, at(5), 0)
 	fresh.Replace([]Item{put("a", "1", 3)}, at(9), time.Second) // b was removed at 8
 	if got := r.Confirm(fresh.Position(), fresh.LastChange(), fresh.History(), time.Second); got != Unproven {
-		t.Errorf("standing %v, want unproven", got)
+		t.Errorf("freshness %v, want unproven", got)
 	}
 	if r.Position() != at(5) {
-		t.Errorf("position %d: the removal at 8 will never be read", r.Position())
+		t.Errorf("position %d: the removal at 8 would be missed", r.Position())
 	}
 }
 
-// A key lapses and is written again as it was, while the store answers one balancer in
-// turns and its history is dropped. That one sees no change, but a peer that started
-// in between lacks the key, and has to get it.
+// A key expires and is written again unchanged, while the store answers one balancer only
+// at times and compacts its history. That balancer sees no change, but a peer that
+// started in between lacks the key and has to get it.
 func TestKeyThatLapsedInAGap(t *testing.T) {
 	r, peer := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(5), 0)
@@ -133,7 +134,7 @@
 	peer.Replace(nil, at(7), 0) // a was removed at 6
 	r.Replace([]Item{put("a", "1", 8)}, at(9), 0)
 	if got := peer.Confirm(r.Position(), r.LastChange(), r.History(), 0); got != Behind {
-		t.Errorf("standing %v, want behind", got)
+		t.Errorf("freshness %v, want behind", got)
 	}
 	if _, ok := r.Since(7); ok {
 		t.Error("changes since a revision in the gap are not known")
@@ -144,8 +145,9 @@
 }
 
 // Two balancers list the store, and a key is removed between the pages of the second
-// one's listing, which lacks it. That one lists again later and never hears of the
-// removal. The first one, which has the key, must not take its word for changes.
+// one's listing, which lacks it. The second balancer lists the store again later and
+// never learns of the removal. The first one, which has the key, must not accept the
+// second one's changes as complete.
 func TestKeyRemovedBetweenPages(t *testing.T) {
 	r, peer := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(5), 0)
@@ -174,9 +176,9 @@
 	}
 }
 
-// Balancers take items from the store and from one another in any order, with
-// repeats and old listings. In the end all copies are alike, and no copy ever
-// goes back to an older write of a key.
+// Balancers exchange items with the store and each other in any order, with
+// duplicates and old listings. In the end all copies are equal, and no copy ever
+// returns to an older write of a key.
 func TestCopiesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -189,11 +191,11 @@
 			key := strconv.Itoa(rng.IntN(5))
 			i := put(key, strconv.Itoa(rng.IntN(3)), rev)
 			if rng.IntN(4) == 0 {
-				i = gone(key, rev)
+				i = removal(key, rev)
 			}
 			store.Apply([]Item{i}, at(rev), 0)
-			step(rng, store, a)
-			step(rng, a, b)
+			randomExchange(rng, store, a)
+			randomExchange(rng, a, b)
 			for k, x := range b.items {
 				if x.Revision < seen[k] {
 					t.Fatalf("seed %d: key %s went back from %d to %d", seed, k, seen[k], x.Revision)
@@ -201,18 +203,18 @@
 				seen[k] = x.Revision
 			}
 		}
-		take(store, a)
-		take(a, b)
+		copyChanges(store, a)
+		copyChanges(a, b)
 		if !sameValues(store, b) {
 			t.Fatalf("seed %d: copies differ:\n%v\n%v", seed, store.All(), b.All())
 		}
 	}
 }
 
-func step(rng *rand.Rand, from, to *Replica) {
+func randomExchange(rng *rand.Rand, from, to *Replica) {
 	switch rng.IntN(4) {
 	case 0:
-		take(from, to)
+		copyChanges(from, to)
 	case 1:
 		to.Replace(from.All(), from.Position(), 0)
 	case 2:
@@ -220,7 +222,7 @@
 	}
 }
 
-func take(from, to *Replica) {
+func copyChanges(from, to *Replica) {
 	items, ok := from.Since(to.Position().Number)
 	if !ok || !to.Loaded() {
 		to.Replace(from.All(), from.Position(), 0)
@@ -257,8 +259,8 @@
 		{"first of the second data centre, old copy", Place{Centre: 1}, 1450 * time.Millisecond, false, false, true},
 		{"second in rank waits longer", Place{Rank: 1}, 1450 * time.Millisecond, false, false, false},
 		{"last in rank, old copy", Place{Centre: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
-		{"goes on while nobody else reads", Place{Rank: 2}, 100 * time.Millisecond, false, true, true},
-		{"stops when one before it reads", Place{Rank: 2}, 100 * time.Millisecond, true, true, false},
+		{"keeps reading while no other balancer reads", Place{Rank: 2}, 100 * time.Millisecond, false, true, true},
+		{"stops when an earlier balancer reads", Place{Rank: 2}, 100 * time.Millisecond, true, true, false},
 	} {
 		r := Reader{reading: c.was}
 		if got := r.Decide(c.place, c.age, c.served); got != c.want {
@@ -267,20 +269,20 @@
 	}
 }
 
-// A balancer's own reads fail while others keep its copy fresh: it stops, and
-// begins again when the copy gets old.
+// A balancer's own reads fail while others keep its replica fresh. It stops reading and
+// starts again when the replica gets old.
 func TestFailingReaderStops(t *testing.T) {
 	r := Reader{reading: true}
 	r.Done(false)
 	if r.Decide(Place{Rank: 2}, 500*time.Millisecond, false) || r.Succeeding() {
-		t.Error("reads on although its reads fail and its copy is fresh")
+		t.Error("keeps reading although its reads fail and its copy is fresh")
 	}
 	if !r.Decide(Place{Rank: 2}, 3*time.Second, false) {
 		t.Error("does not try again with an old copy")
 	}
 	r.Done(true)
 	if !r.Succeeding() {
-		t.Error("a read succeeded")
+		t.Error("not succeeding after a successful read")
 	}
 }
 
--- a/internal/replica/settling.go
+++ b/internal/replica/settling.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// minSettle is the least time in which a store that came back from an older copy is
-// written again.
+// minSettle is the minimum settling time of a store that was restored from an older copy.
 const minSettle = 2 * time.Second
 
-// Settling puts off what a store that has come back from an older copy undoes. The operator
-// and the targets write again what they had written since the copy was made, the targets
-// with their next heartbeats; until then the store says less than is known.
+// Settling defers changes that only result from a restore of the store from an older
+// copy. The operator and the targets write again what they had written since that copy
+// was made, the targets with their next heartbeats. Until then the store lacks entries
+// that balancers know of.
 //
-// Failure: a target registered after the copy was made, or said that it leaves, or has
-// left. It shows as a living target that is taken for gone, and as openings that are sent
-// to one that is not. So what is undone counts only if it still holds once the store has
-// settled.
+// Guards against a target that registered, announced that it leaves, or left after the
+// copy was made. Without this, a live target would count as gone, or openings would be
+// sent to one that is gone. Such a change therefore only counts if it still holds once
+// the store has settled.
 type Settling struct {
-	until  time.Duration
-	proven time.Duration // of the last copy that lacked nothing
-	held   map[string]bool
+	until    time.Duration
+	proven   time.Duration // when the replica was last current before the restore
+	deferred map[string]bool
 }
 
-// SettleTime returns how long a store takes to settle in which targets write each
-// heartbeat: two of them, as one may be lost, and a read.
+// SettleTime returns the settling time for a heartbeat interval of the targets: two
+// heartbeats, as one may be lost, and a read.
 func SettleTime(heartbeat time.Duration) time.Duration {
 	return max(2*heartbeat+ReadInterval, minSettle)
 }
 
-// Begin notes that the store lacks what was written since the copy was proven last.
+// Begin starts a settling period of the given length. proven is when the replica was last
+// known to be current before the restore.
 func (s *Settling) Begin(now, length, proven time.Duration) {
 	if s.Left(now) == 0 {
 		s.proven = proven
@@ -38,37 +39,37 @@
 	s.until = now + length
 }
 
-// Left returns for how long the store may still lack something.
+// Left returns the remaining settling time, or 0 once the store has settled.
 func (s *Settling) Left(now time.Duration) time.Duration { return max(s.until-now, 0) }
 
-// Defer puts a key off until the store has settled.
+// Defer defers the change of a key until the store has settled.
 func (s *Settling) Defer(key string) {
-	if s.held == nil {
-		s.held = map[string]bool{}
+	if s.deferred == nil {
+		s.deferred = map[string]bool{}
 	}
-	s.held[key] = true
+	s.deferred[key] = true
 }
 
-// Release notes that a key was written again.
-func (s *Settling) Release(key string) { delete(s.held, key) }
+// Release cancels the deferral of a key that was written again.
+func (s *Settling) Release(key string) { delete(s.deferred, key) }
 
-// Settled returns, once the store has settled, the keys that were put off and have not
-// been written since.
+// Settled returns the keys that were deferred and not written since, once the store has
+// settled. It returns them only once.
 func (s *Settling) Settled(now time.Duration) []string {
-	if s.Left(now) > 0 || len(s.held) == 0 {
+	if s.Left(now) > 0 || len(s.deferred) == 0 {
 		return nil
 	}
-	keys := slices.Sorted(maps.Keys(s.held))
-	s.held = nil
+	keys := slices.Sorted(maps.Keys(s.deferred))
+	s.deferred = nil
 	return keys
 }
 
-// Proven returns when the list of targets was last known to be complete, if the copy is
-// as new as proven.
+// Proven returns when the list of targets was last known to be complete, given when the
+// replica was last known to be current.
 //
-// Failure: a target registers after the copy was made, and a flow of it comes to a balancer
-// that had not heard of it. It shows as a reset of a living flow, as the store's list seems
-// complete without the target.
+// Guards against a target that registered after the copy was made and whose flow reaches
+// a balancer that had not heard of it. If the store's list of targets counted as complete
+// without the target, the balancer would reset a live flow.
 func (s *Settling) Proven(now, proven time.Duration) time.Duration {
 	if s.Left(now) > 0 {
 		return min(proven, s.proven)
