--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,8 +14,8 @@
 	"rosedale.dev/rosedale/internal/settings"
 )
 
-// benchmarkPublish is the time from an accepted change to the view in force,
-// with a catalogue of n addresses and ten endpoints for each service.
+// benchmarkPublish measures the time from an accepted change until the view is in force,
+// with a catalogue of n addresses, two for each service, and ten targets for each service.
 func benchmarkPublish(b *testing.B, n int) {
 	set := settings.Default()
 	set.Name, set.DataCenter = "vault-a-1", "vault-a"
@@ -31,7 +31,7 @@
 	for i := range n / 2 {
 		vs = append(vs, catalogue.Version{Name: fmt.Sprint("service-", i), Index: uint64(i + 1), Created: uint64(i + 1), Text: benchEntry(b, i)})
 	}
-	l.cat.Accept(vs, "", nil)
+	l.catalogueState.Accept(vs, "", nil)
 	for b.Loop() {
 		l.publish(time.Second)
 	}
--- a/internal/control/catalogue.go
+++ b/internal/control/catalogue.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// readersPerDataCenter watch the store for all members there.
+	// readersPerDataCenter is the number of members that watch the store for their data
+	// centre.
 	readersPerDataCenter = 2
 	minBackoff           = 500 * time.Millisecond
 	maxBackoff           = 3 * time.Second
-	filePoll             = 500 * time.Millisecond
+	folderPollInterval   = 500 * time.Millisecond
 )
 
-// reader is the running watch of a member that reads the store.
+// reader is the running watch of the store.
 type reader struct {
 	stop context.CancelFunc
 }
 
-// startCatalogue begins to follow the folder of a single VM.
+// startCatalogue starts to watch the catalogue folder, if one is set.
 func (l *Loop) startCatalogue(ctx context.Context) {
-	if l.set.Catalogue.Folder != "" {
-		go l.followFolder(ctx)
+	if l.config.Catalogue.Folder != "" {
+		go l.watchFolder(ctx)
 	}
 }
 
-// updateReader starts or stops the watch when this member becomes or ceases
-// to be a reader of its data centre. A member that reaches nobody is the only
-// one in its list and thus reads itself.
+// updateReader starts or stops the watch of the store when this member becomes or
+// ceases to be a reader of its data centre. A member that reaches no other one is the
+// only serving one in its list and therefore a reader.
 func (l *Loop) updateReader(ctx context.Context) {
 	if l.store == nil {
 		return
@@ -49,9 +50,9 @@
 		rctx, stop := context.WithCancel(ctx)
 		l.reader = &reader{stop}
 		for shard := range store.Shards {
-			go l.watch(rctx, shard)
+			go l.watchShard(rctx, shard)
 		}
-		go l.followVMs(rctx)
+		go l.refreshVMs(rctx)
 	case !want && l.reader != nil:
 		l.reader.stop()
 		l.reader = nil
@@ -62,18 +63,18 @@
 	switch {
 	case l.leaving:
 		return false
-	case !l.sync:
-		return true // a starting member reads once for itself
+	case !l.catalogueComplete:
+		return true // a starting member reads the store once for itself
 	}
-	return l.readers()[l.set.Name]
+	return l.readers()[l.config.Name]
 }
 
-// readers returns the names of the members that read the store, as far as this
-// member sees: the first serving ones of each data centre in rendezvous order.
+// readers returns the names of the members that read the store according to this
+// member's list: the first serving ones of each data centre in rendezvous order.
 func (l *Loop) readers() map[string]bool {
 	names, seeds := map[string][]string{}, map[string][]uint64{}
 	for _, r := range l.group.Members() {
-		if r.Name != l.set.Name && !member.Serving(r) {
+		if r.Name != l.config.Name && !member.Serving(r) {
 			continue
 		}
 		names[r.DataCenter] = append(names[r.DataCenter], r.Name)
@@ -89,15 +90,16 @@
 	return out
 }
 
-// watch follows a shard of the store until ctx ends. While the store is down the last
-// accepted versions stay in force, and attempts are spread out.
-func (l *Loop) watch(ctx context.Context, shard int) {
-	prefix := store.ShardPrefix(l.set.Store.Prefix, shard)
+// watchShard reads a shard of the store whenever it changes, until ctx ends. While the
+// store is unreachable the last accepted versions stay in force, and attempts are
+// repeated with a growing, randomized pause.
+func (l *Loop) watchShard(ctx context.Context, shard int) {
+	prefix := store.ShardPrefix(l.config.Store.Prefix, shard)
 	part := func(name string) bool { return store.ShardOf(name) == shard }
 	after, backoff := uint64(0), minBackoff
 	for ctx.Err() == nil {
 		l.Count.StoreReads.Add(1)
-		began := time.Now()
+		start := time.Now()
 		list, err := l.store.List(ctx, prefix, after)
 		if err != nil {
 			if ctx.Err() != nil {
@@ -112,28 +114,31 @@
 		backoff = minBackoff
 		changed := list.Index != after
 		if list.Index < after {
-			// The store was restored: begin again. Versions below those in
-			// force are not accepted, whatever its index says.
+			// The store was restored from a backup: list it from the start.
+			// Versions below those in force are not accepted, whatever the
+			// index of the store.
 			after = 0
 		} else {
 			after = list.Index
 		}
 		if changed {
-			vs := store.Versions(list, l.set.Store.Prefix)
-			l.post(ctx, func(time.Duration) { l.listed(ctx, list.Index, vs, part, shard) })
+			vs := store.Versions(list, l.config.Store.Prefix)
+			l.post(ctx, func(time.Duration) { l.applyListing(ctx, list.Index, vs, part, shard) })
 		}
-		if time.Since(began) < 20*time.Millisecond {
-			sleep(ctx, 20*time.Millisecond) // a busy prefix: a few changes per read
+		if time.Since(start) < 20*time.Millisecond {
+			sleep(ctx, 20*time.Millisecond) // with frequent changes, return several of them per read
 		}
 	}
 }
 
-func (l *Loop) listed(ctx context.Context, index uint64, vs []catalogue.Version, part func(string) bool, shard int) {
-	l.shards[shard] = true
-	l.sync = l.sync || len(l.shards) == store.Shards
-	l.accept(ctx, l.cat.VersionsFromListing(index, vs, part), "")
+// applyListing accepts the versions of a complete listing of a shard.
+func (l *Loop) applyListing(ctx context.Context, index uint64, vs []catalogue.Version, part func(string) bool, shard int) {
+	l.listedShards[shard] = true
+	l.catalogueComplete = l.catalogueComplete || len(l.listedShards) == store.Shards
+	l.accept(ctx, l.catalogueState.VersionsFromListing(index, vs, part), "")
 }
 
+// jitter returns a random duration between half of d and one and a half of it.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
@@ -147,20 +152,20 @@
 	}
 }
 
-// followFolder takes the place of the store for a single VM: a file's
-// modification time in nanoseconds serves as its index.
-func (l *Loop) followFolder(ctx context.Context) {
+// watchFolder reads the catalogue of a single VM from a folder instead of the store. A
+// file's modification time in nanoseconds serves as its index.
+func (l *Loop) watchFolder(ctx context.Context) {
 	for ctx.Err() == nil {
-		vs, high, err := readFolder(l.set.Catalogue.Folder)
+		vs, high, err := readFolder(l.config.Catalogue.Folder)
 		if err != nil {
-			l.log.Warn("catalogue folder", zap.Error(err))
+			l.log.Warn("cannot read the catalogue folder", zap.Error(err))
 		} else {
 			l.post(ctx, func(time.Duration) {
-				l.sync = true
-				l.accept(ctx, l.cat.VersionsFromListing(high, vs, func(string) bool { return true }), "")
+				l.catalogueComplete = true
+				l.accept(ctx, l.catalogueState.VersionsFromListing(high, vs, func(string) bool { return true }), "")
 			})
 		}
-		sleep(ctx, filePoll)
+		sleep(ctx, folderPollInterval)
 	}
 }
 
--- a/internal/control/interner.go
+++ b/internal/control/interner.go
@@ -8,18 +8,18 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// interner gives identifiers to addresses and targets. An identifier is never
-// given to anything else while the process runs, so that flows keep their
-// meaning through every change of the catalogue.
+// interner assigns identifiers to addresses and targets. An identifier is never reused
+// while the process runs, so that the identifiers in flows stay valid through every
+// change of the catalogue.
 type interner struct {
 	addresses map[addressKey]uint32
-	ids       map[router.TargetKey]uint32
+	targetIDs map[router.TargetKey]uint32
 	targets   []router.Target
-	byHash    map[uint32]uint32
+	byHash    map[uint32]uint32 // target identifiers by target hash
 }
 
-// addressKey names an address of a service: the same address under another
-// service's number is another one.
+// addressKey identifies an address of a service. The same address gets another
+// identifier under another service's number.
 type addressKey struct {
 	service uint32
 	addr    netip.AddrPort
@@ -28,7 +28,7 @@
 func newInterner() *interner {
 	return &interner{
 		addresses: map[addressKey]uint32{},
-		ids:       map[router.TargetKey]uint32{},
+		targetIDs: map[router.TargetKey]uint32{},
 		targets:   make([]router.Target, 1), // 0 means no target
 		byHash:    map[uint32]uint32{},
 	}
@@ -46,13 +46,13 @@
 
 func (n *interner) target(service uint32, a netip.Addr, dc string) uint32 {
 	k := router.TargetKey{Service: service, Addr: a}
-	if id, ok := n.ids[k]; ok {
+	if id, ok := n.targetIDs[k]; ok {
 		n.targets[id].DataCenter = dc
 		return id
 	}
 	id := uint32(len(n.targets))
 	n.targets = append(n.targets, router.Target{TargetKey: k, DataCenter: dc, Answered: new(atomic.Int64)})
-	n.ids[k] = id
+	n.targetIDs[k] = id
 	n.byHash[wire.TargetHash(service, a)] = id
 	return id
 }
--- a/internal/control/lifecycle.go
+++ b/internal/control/lifecycle.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	// readyDelay lets a starting member hear of the others before it decides.
+	// readyDelay is the minimum time after the start before a member serves, so that
+	// it knows the other members before it decides on flows.
 	readyDelay = 1500 * time.Millisecond
-	// leaveSettle lets the announcement reach all members and the fabric.
-	leaveSettle = 1500 * time.Millisecond
-	leavePoll   = 100 * time.Millisecond
-	// servingDelay passes between the announcement that this member serves
-	// and its readiness, so that all members have it in their views first.
+	// minLeaveTime is the minimum duration of a planned stop, so that its announcement
+	// reaches all members and the fabric.
+	minLeaveTime      = 1500 * time.Millisecond
+	leavePollInterval = 100 * time.Millisecond
+	// servingDelay is the time between the announcement that this member serves and
+	// its readiness, so that all members have it in their views first.
 	servingDelay = time.Second
 )
 
-// becomeReady ends the start: the catalogue is complete, and peers that
-// answer have been heard. A starting member serves nothing until then.
+// becomeReady ends the start when the catalogue is complete and readyDelay, in which
+// peers can answer, has passed. A starting member does not serve until then.
 func (l *Loop) becomeReady(now time.Duration) {
-	if l.leaving || !l.sync || now < readyDelay || l.group.Self().Status != wire.Starting {
+	if l.leaving || !l.catalogueComplete || now < readyDelay || l.group.Self().Status != wire.Starting {
 		return
 	}
 	l.group.SetStatus(now, wire.Alive)
 	l.servingAt = now
-	l.log.Info("serving", zap.Uint64("index", l.cat.Versions().High()))
+	l.log.Info("serving", zap.Uint64("index", l.catalogueState.Versions().High()))
 }
 
-// Ready reports whether the fabric may send packets here.
+// Ready reports whether the fabric may send packets to this balancer.
 func (l *Loop) Ready(ctx context.Context) bool {
 	ready := false
 	err := l.Do(ctx, func(now time.Duration) {
@@ -44,22 +46,22 @@
 	return err == nil && ready
 }
 
-// Leave is a planned stop. It announces the stop, hands over, and goes on
-// forwarding until the fabric sends nothing more, within the set bound. Flows
-// that this balancer knew are known to others by then; none is cut.
+// Leave performs a planned stop: it announces the stop, hands over all flows, and keeps
+// forwarding until the fabric sends no more packets or the maximum time of the settings
+// has passed. As other balancers know the flows by then, none is interrupted.
 func (l *Loop) Leave(ctx context.Context) {
-	began := l.plane.Now()
+	start := l.plane.Now()
 	_ = l.Do(ctx, func(now time.Duration) {
 		l.leaving = true
 		l.group.SetStatus(now, wire.Leaving)
 		l.updateReader(ctx)
 	})
 	l.log.Info("leaving")
-	limit := began + time.Duration(l.set.Leave.Max)
-	for now := began; now < limit && ctx.Err() == nil; now = l.plane.Now() {
-		sleep(ctx, leavePoll)
+	limit := start + time.Duration(l.config.Leave.Max)
+	for now := start; now < limit && ctx.Err() == nil; now = l.plane.Now() {
+		sleep(ctx, leavePollInterval)
 		quiet := now - l.plane.LastFabric()
-		if now-began >= leaveSettle && quiet >= time.Duration(l.set.Leave.Quiet) {
+		if now-start >= minLeaveTime && quiet >= time.Duration(l.config.Leave.Quiet) {
 			break
 		}
 	}
@@ -67,16 +69,16 @@
 		l.group.SetStatus(now, wire.Left)
 		l.send(ctx, now, l.group.Tick(now))
 	})
-	sleep(ctx, leavePoll)
-	l.log.Info("left", zap.Duration("took", l.plane.Now()-began))
+	sleep(ctx, leavePollInterval)
+	l.log.Info("left", zap.Duration("took", l.plane.Now()-start))
 }
 
-// followVMs reads the platform's list of VMs now and then: new VMs become
-// members that can be tried. The list lags, so that it only adds names; who is
-// alive is found by heartbeats. Readers do this for their data centre: what one
-// of them meets, all hear of.
-func (l *Loop) followVMs(ctx context.Context) {
-	prefix := store.VMPrefix(l.set.Store.Prefix)
+// refreshVMs regularly reads the platform's list of VMs and adds new VMs as seeds. The
+// list is often outdated, so it is only used to add members; heartbeats determine which
+// ones are alive. Only readers do this, as a member that one of them finds becomes known
+// to all through updates.
+func (l *Loop) refreshVMs(ctx context.Context) {
+	prefix := store.VMPrefix(l.config.Store.Prefix)
 	for ctx.Err() == nil {
 		l.Count.StoreReads.Add(1)
 		list, err := l.store.List(ctx, prefix, 0)
@@ -92,14 +94,14 @@
 				l.group.AddSeed(wire.Record{Name: m.Name, DataCenter: m.DataCenter, Data: m.Data, Control: m.Control})
 			})
 		}
-		sleep(ctx, jitter(time.Duration(l.set.Store.VMRefresh)))
+		sleep(ctx, jitter(time.Duration(l.config.Store.VMRefresh)))
 	}
 }
 
-// controlAddr returns where to reach a member: by the settings if they name
-// it, else by its own record.
+// controlAddr returns the control address of a member, from the settings if they list
+// it and else from its record.
 func (l *Loop) controlAddr(r wire.Record) netip.AddrPort {
-	for _, m := range l.set.Members {
+	for _, m := range l.config.Members {
 		if m.Name == r.Name {
 			return m.Control
 		}
@@ -107,9 +109,9 @@
 	return r.Control
 }
 
-// dataAddr returns where a member takes packets, in the same way.
+// dataAddr returns the address at which a member receives packets, from the same sources.
 func (l *Loop) dataAddr(r wire.Record) netip.AddrPort {
-	for _, m := range l.set.Members {
+	for _, m := range l.config.Members {
 		if m.Name == r.Name {
 			return m.Data
 		}
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,7 +1,7 @@
-// Package control runs the one goroutine that owns all control state: the
-// member list, the catalogue, targets' health. It feeds the decision packages
-// with messages, results and the time, sends what they answer, and publishes
-// each new view to the data path.
+// Package control runs the single goroutine that owns all control state: the member
+// list, the catalogue and the health of targets. It passes messages, check results and
+// the time to the packages that make the decisions, sends the messages that they return,
+// and publishes each new view to the data path.
 package control
 
 import (
@@ -24,85 +24,85 @@
 )
 
 const (
-	routerTick = 20 * time.Millisecond
-	groupTick  = 100 * time.Millisecond
-	slowTick   = 500 * time.Millisecond
+	routerInterval = 20 * time.Millisecond
+	groupInterval  = 100 * time.Millisecond
+	slowInterval   = 500 * time.Millisecond
 )
 
-// Loop is the control state of a daemon. Only Run's goroutine touches it;
-// others go through Do.
+// Loop holds the control state of a daemon. Only the goroutine of Run accesses it; others
+// use Do.
 type Loop struct {
-	set    settings.Settings
+	config settings.Settings
 	log    *zap.Logger
 	router *router.Router
 	plane  *forward.Plane
 	link   *link.Link // nil for a single VM
 	store  store.Store
 
-	group   *member.Group
-	cat     *converge.Catalogue
-	health  *health.Table
-	checker *health.Checker
-	names   *interner
-	held    *heldTable
-	events  chan func(now time.Duration)
-
-	lastTick  time.Duration
-	groupAt   time.Duration
-	slowAt    time.Duration
-	rebuild   bool
-	sync      bool          // a complete catalogue was seen
-	shards    map[int]bool  // of the store, listed since the start
-	syncAt    time.Duration // of the last exchange of all member records
-	memberAt  time.Duration // of the last change of the member list
-	leaving   bool
-	servingAt time.Duration
-	reader    *reader
-	checkers  map[uint32]bool   // members whose findings count
-	checks    map[uint32]*check // by target hash
-	catalogAt time.Duration
-	heldBack  []string // errors of entries held back, as last logged
-	retired   map[uint32]retired
-	streamed  map[uint32]uint32      // targets of stream addresses, identifier to hash
-	moves     []outgoing             // handovers to send
-	seen      map[string]wire.Status // as last logged
-	Count     Counts
+	group          *member.Group
+	catalogueState *converge.Catalogue
+	health         *health.Table
+	checker        *health.Checker
+	ids            *interner
+	connections    *connectionTable
+	events         chan func(now time.Duration)
+
+	lastTick           time.Duration
+	lastGroupTick      time.Duration
+	lastSlowTick       time.Duration
+	rebuildView        bool
+	catalogueComplete  bool          // the catalogue was read completely, or equal to a peer's
+	listedShards       map[int]bool  // shards of the store listed since the start
+	lastMemberSync     time.Duration // time of the last exchange of all member records
+	membersChangedAt   time.Duration // time of the last change of the member list
+	leaving            bool
+	servingAt          time.Duration
+	reader             *reader
+	checkers           map[uint32]bool   // members whose findings are used
+	checks             map[uint32]*check // by target hash
+	catalogueChangedAt time.Duration
+	heldBack           []string                // errors of entries held back, as last logged
+	knownServices      map[uint32]knownService // by number of the service
+	streamTargets      map[uint32]uint32       // hashes of targets of stream addresses, by identifier
+	handovers          []outgoing              // to send
+	loggedStatus       map[string]wire.Status  // of members, as last logged
+	Count              Counts
 }
 
 // New returns a Loop. The link and the store may be nil.
-func New(set settings.Settings, log *zap.Logger, r *router.Router, p *forward.Plane, l *link.Link, s store.Store) *Loop {
-	seed := randomSeed(set.Name)
+func New(config settings.Settings, log *zap.Logger, r *router.Router, p *forward.Plane, l *link.Link, s store.Store) *Loop {
+	seed := randomSeed(config.Name)
 	self := wire.Record{
-		Name:        set.Name,
-		DataCenter:  set.DataCenter,
-		Data:        set.Data.Listen,
-		Control:     set.Control.Listen,
-		Admin:       set.Admin.Listen,
+		Name:        config.Name,
+		DataCenter:  config.DataCenter,
+		Data:        config.Data.Listen,
+		Control:     config.Control.Listen,
+		Admin:       config.Admin.Listen,
 		Incarnation: uint64(time.Now().UnixMilli()),
 		Status:      wire.Starting,
 	}
 	lp := &Loop{
-		set: set, log: log, router: r, plane: p, link: l, store: s,
-		group:   member.New(set.Member(), self, seeds(set), seed),
-		cat:     converge.New(set.Name, seed),
-		health:  health.NewTable(),
-		checker: health.NewChecker(),
-		names:   newInterner(),
-		held:    newHeldTable(),
-		events:  make(chan func(time.Duration), 1024),
-		retired: map[uint32]retired{},
-		shards:  map[int]bool{},
-		seen:    map[string]wire.Status{},
-		rebuild: true,
+		config: config, log: log, router: r, plane: p, link: l, store: s,
+		group:          member.New(config.Member(), self, seeds(config), seed),
+		catalogueState: converge.New(config.Name, seed),
+		health:         health.NewTable(),
+		checker:        health.NewChecker(),
+		ids:            newInterner(),
+		connections:    newConnectionTable(),
+		events:         make(chan func(time.Duration), 1024),
+		knownServices:  map[uint32]knownService{},
+		listedShards:   map[int]bool{},
+		loggedStatus:   map[string]wire.Status{},
+		rebuildView:    true,
 	}
 	lp.publish(0)
 	return lp
 }
 
-func seeds(set settings.Settings) []wire.Record {
+func seeds(config settings.Settings) []wire.Record {
 	var out []wire.Record
-	for _, m := range set.Members {
-		if m.Name != set.Name {
+	for _, m := range config.Members {
+		if m.Name != config.Name {
 			out = append(out, wire.Record{Name: m.Name, DataCenter: m.DataCenter, Data: m.Data, Control: m.Control})
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-// post hands a result to the control goroutine from another one.
+// post queues f to run on the control goroutine, without waiting for it.
 func (l *Loop) post(ctx context.Context, f func(now time.Duration)) {
 	select {
 	case l.events <- f:
@@ -141,7 +141,7 @@
 
 // Run is the control goroutine. It returns when ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	t := time.NewTicker(routerTick)
+	t := time.NewTicker(routerInterval)
 	defer t.Stop()
 	var in <-chan link.Incoming
 	if l.link != nil {
@@ -161,17 +161,17 @@
 		}
 		changed := l.group.Changed()
 		if changed {
-			l.memberAt = l.plane.Now()
+			l.membersChangedAt = l.plane.Now()
 		}
-		if l.rebuild || changed {
+		if l.rebuildView || changed {
 			l.publish(l.plane.Now())
-			l.sendMoved(ctx)
+			l.sendHandovers(ctx)
 		}
 	}
 }
 
 func (l *Loop) tick(ctx context.Context, now time.Duration) {
-	if now-l.lastTick > time.Duration(l.set.Control.PauseLimit) && l.lastTick > 0 {
+	if now-l.lastTick > time.Duration(l.config.Control.PauseLimit) && l.lastTick > 0 {
 		l.Count.Pauses.Add(1)
 		l.log.Warn("paused", zap.Duration("for", now-l.lastTick))
 		l.group.Resume(now)
@@ -181,31 +181,32 @@
 		l.router.Alive(now)
 	}
 	l.plane.Tick()
-	if now-l.groupAt >= groupTick {
-		l.groupAt = now
+	if now-l.lastGroupTick >= groupInterval {
+		l.lastGroupTick = now
 		l.send(ctx, now, l.group.Tick(now))
 	}
-	if now-l.slowAt >= slowTick {
-		l.slowAt = now
-		l.slow(ctx, now)
+	if now-l.lastSlowTick >= slowInterval {
+		l.lastSlowTick = now
+		l.tickSlow(ctx, now)
 	}
 }
 
-// slow does what need not happen at every tick.
-func (l *Loop) slow(ctx context.Context, now time.Duration) {
-	l.router.ReportAhead(l.held.ahead(now, l.names, len(l.reachable())))
+// tickSlow does the periodic work that is not needed at every tick.
+func (l *Loop) tickSlow(ctx context.Context, now time.Duration) {
+	l.router.ReportAhead(l.connections.peerSurplus(now, l.ids, len(l.reachable())))
 	l.updateReader(ctx)
 	l.checkTargets(ctx, now)
 	l.reportLoads(now)
 	l.becomeReady(now)
 }
 
+// peerAddrs returns the addresses from which balancers send packets.
 func (l *Loop) peerAddrs() []netip.Addr {
 	var out []netip.Addr
 	for _, r := range l.group.Members() {
 		out = append(out, r.Data.Addr())
 	}
-	for _, m := range l.set.Members {
+	for _, m := range l.config.Members {
 		if m.Source.IsValid() {
 			out = append(out, m.Source)
 		}
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -16,23 +16,25 @@
 )
 
 const (
-	heldPerMessage   = 32
-	healthPerMessage = 3
-	// A complete exchange of member records follows a differing digest. Its size
-	// grows with their number, so that it waits for the spread of the last
-	// change (syncQuiet for each member), and for syncPause and syncShare for
-	// each member after the last exchange.
-	syncQuiet = 5 * time.Millisecond
-	syncPause = 500 * time.Millisecond
-	syncShare = 10 * time.Millisecond
+	connectionsPerMessage = 32
+	healthPerMessage      = 3
+	// When the digests of the member list differ, all records are exchanged. The size
+	// of that exchange grows with the number of members, so it waits until
+	// memberSyncQuiet for each member has passed since the last change, in which
+	// updates reach all, and memberSyncInterval plus memberSyncIntervalPerMember for
+	// each member since the last exchange.
+	memberSyncQuiet             = 5 * time.Millisecond
+	memberSyncInterval          = 500 * time.Millisecond
+	memberSyncIntervalPerMember = 10 * time.Millisecond
 )
 
-// send stamps and sends the member list's messages.
+// send sends messages of the member list, with the digest of the catalogue and, on
+// heartbeats, connection counts and findings about targets.
 func (l *Loop) send(ctx context.Context, now time.Duration, out []member.Send) {
 	for _, s := range out {
-		l.cat.Stamp(s.Msg)
+		l.catalogueState.Stamp(s.Msg)
 		if s.Msg.Kind == wire.Ping {
-			s.Msg.TargetConnections = l.held.own(l.counts(), heldPerMessage)
+			s.Msg.TargetConnections = l.connections.report(l.ownConnections(), connectionsPerMessage)
 			s.Msg.Health = l.health.Rotate(now, healthPerMessage)
 		}
 		l.sendTo(ctx, s.To, s.Msg)
@@ -41,13 +43,13 @@
 
 func (l *Loop) sendTo(ctx context.Context, name string, m *wire.Message) {
 	r, ok := l.group.Get(name)
-	if !ok || l.link == nil || name == l.set.Name {
+	if !ok || l.link == nil || name == l.config.Name {
 		return
 	}
 	l.link.Send(ctx, name, l.controlAddr(r), m)
 }
 
-// receive handles one message of an authenticated member.
+// receive handles a message of an authenticated member.
 func (l *Loop) receive(ctx context.Context, now time.Duration, in link.Incoming) {
 	m := in.Msg
 	l.send(ctx, now, l.group.Receive(now, m))
@@ -55,7 +57,7 @@
 	case wire.Ping, wire.Ack:
 		l.heartbeat(ctx, now, m)
 	case wire.Pull:
-		l.pull(ctx, m)
+		l.answerPull(ctx, m)
 	case wire.Push:
 		l.accept(ctx, m.Versions, m.From)
 	case wire.Handover:
@@ -63,86 +65,89 @@
 	}
 	for _, h := range m.Health {
 		if l.health.Merge(now, h) {
-			l.rebuild = true
+			l.rebuildView = true
 		}
 	}
 	l.spreadHealth(ctx)
 }
 
 func (l *Loop) heartbeat(ctx context.Context, now time.Duration, m *wire.Message) {
-	l.held.peer(now, m.From, m.TargetConnections, l.counts())
-	for _, s := range l.cat.Compare(now, m) {
+	l.connections.recordPeer(now, m.From, m.TargetConnections, l.ownConnections())
+	for _, s := range l.catalogueState.Compare(now, m) {
 		l.sendTo(ctx, s.To, s.Msg)
 	}
-	if m.High > 0 && m.Digest == l.cat.Versions().Digest() {
-		l.sync = true
+	if m.High > 0 && m.Digest == l.catalogueState.Versions().Digest() {
+		l.catalogueComplete = true
 	}
 	if m.Members != l.group.Digest() {
 		l.syncMembers(ctx, now, m.From)
 	}
 }
 
+// syncMembers exchanges all member records with a peer, unless it is too early; see
+// memberSyncQuiet.
 func (l *Loop) syncMembers(ctx context.Context, now time.Duration, peer string) {
 	n := time.Duration(l.group.Len())
-	if now-l.syncAt < syncPause+n*syncShare || now-l.memberAt < n*syncQuiet {
+	if now-l.lastMemberSync < memberSyncInterval+n*memberSyncIntervalPerMember || now-l.membersChangedAt < n*memberSyncQuiet {
 		return
 	}
-	l.syncAt = now
-	l.sendTo(ctx, peer, &wire.Message{Kind: wire.Pull, From: l.set.Name, Updates: l.group.Members(), Full: true, Have: l.cat.Have()})
+	l.lastMemberSync = now
+	l.sendTo(ctx, peer, &wire.Message{Kind: wire.Pull, From: l.config.Name, Updates: l.group.Members(), Full: true, Have: l.catalogueState.Have()})
 }
 
-// counts returns, by target hash, the connections that this balancer's flows
-// hold at the targets of services with stream addresses.
-func (l *Loop) counts() map[uint32]int {
-	out := make(map[uint32]int, len(l.streamed))
-	for _, hash := range l.streamed {
+// ownConnections returns, by target hash, the number of connections of this balancer's
+// flows to the targets of services with stream addresses.
+func (l *Loop) ownConnections() map[uint32]int {
+	out := make(map[uint32]int, len(l.streamTargets))
+	for _, hash := range l.streamTargets {
 		out[hash] = 0
 	}
 	for _, h := range l.router.Holdings() {
-		if hash, ok := l.streamed[h.Target]; ok {
+		if hash, ok := l.streamTargets[h.Target]; ok {
 			out[hash] = h.Connections
 		}
 	}
 	return out
 }
 
-// pull answers with the versions that the sender lacks. A full exchange of
-// member records is answered with the own ones, once.
-func (l *Loop) pull(ctx context.Context, m *wire.Message) {
-	for _, s := range l.cat.Answer(m) {
+// answerPull sends the versions that the sender lacks. If the message contains member
+// records, it also sends this member's records, in a message that needs no answer.
+func (l *Loop) answerPull(ctx context.Context, m *wire.Message) {
+	for _, s := range l.catalogueState.Answer(m) {
 		l.sendTo(ctx, s.To, s.Msg)
 	}
 	if len(m.Updates) > 0 {
-		l.sendTo(ctx, m.From, &wire.Message{Kind: wire.Gossip, From: l.set.Name, Updates: l.group.Members()})
+		l.sendTo(ctx, m.From, &wire.Message{Kind: wire.Gossip, From: l.config.Name, Updates: l.group.Members()})
 	}
 }
 
-// accept puts new versions in force and passes them on.
+// accept puts new versions in force and pushes them to other members.
 func (l *Loop) accept(ctx context.Context, vs []catalogue.Version, from string) {
-	out, changed, errs := l.cat.Accept(vs, from, l.pushTo(from))
+	out, changed, errs := l.catalogueState.Accept(vs, from, l.pushTargets(from))
 	for _, err := range errs {
 		l.log.Error("catalogue entry refused", zap.Error(err), zap.String("from", from))
 	}
 	if !changed {
 		return
 	}
-	l.catalogAt = l.plane.Now()
-	l.rebuild = true
-	// What a starting member reads is news to itself only: 55 of them would
-	// push the whole catalogue to each other.
+	l.catalogueChangedAt = l.plane.Now()
+	l.rebuildView = true
+	// What a starting member reads is new only to itself. Without this condition, 55
+	// starting members would push the whole catalogue to each other.
 	if l.group.Self().Status != wire.Starting {
 		for _, s := range out {
 			l.sendTo(ctx, s.To, s.Msg)
 		}
 	}
-	l.log.Info("catalogue changed", zap.Uint64("index", l.cat.Versions().High()), zap.String("from", from))
+	l.log.Info("catalogue changed", zap.Uint64("index", l.catalogueState.Versions().High()), zap.String("from", from))
 }
 
-// pushTo returns the members that news from a member, or from the store if from
-// is empty, may be pushed to. Other readers have what the store says: with few VMs
-// nearly all are readers, and each would push every entry to three that have it.
-// A reader that cannot reach the store finds out by the next heartbeat's digest.
-func (l *Loop) pushTo(from string) []string {
+// pushTargets returns the members to which new versions from a member, or from the store
+// if from is empty, may be pushed. Versions from the store are not pushed to other
+// readers, which have them already: with few VMs nearly all members are readers, and each
+// would push every entry to three that have it. A reader that cannot reach the store
+// notices the difference by the digest of the next heartbeat.
+func (l *Loop) pushTargets(from string) []string {
 	peers := l.reachable()
 	if from != "" {
 		return peers
@@ -151,16 +156,18 @@
 	return slices.DeleteFunc(peers, func(name string) bool { return readers[name] })
 }
 
+// reachable returns the names of the other members that are expected to answer.
 func (l *Loop) reachable() []string {
 	var out []string
 	for _, r := range l.group.Members() {
-		if r.Name != l.set.Name && member.Reachable(r) {
+		if r.Name != l.config.Name && member.Reachable(r) {
 			out = append(out, r.Name)
 		}
 	}
 	return out
 }
 
+// takeOver adds flows whose home this balancer has become to the router.
 func (l *Loop) takeOver(fs []wire.Flow) {
 	ms := make([]router.Moved, 0, len(fs))
 	for _, f := range fs {
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -17,32 +17,35 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// publish builds a view of the member list and the catalogue and puts it in
-// force on the data path.
+// publish builds a view from the member list and the catalogue, and puts it in force on
+// the data path.
 func (l *Loop) publish(now time.Duration) {
-	l.rebuild = false
+	l.rebuildView = false
 	v := &router.View{
 		Addresses: map[netip.AddrPort]router.Address{},
 		Services:  map[uint32]router.Service{},
 	}
 	l.addNodes(v)
-	l.streamed = map[uint32]uint32{}
-	services, held := l.cat.Versions().Services()
-	l.logHeld(held)
+	l.streamTargets = map[uint32]uint32{}
+	services, held := l.catalogueState.Versions().Services()
+	l.logHeldBack(held)
 	for _, s := range services {
 		l.addService(now, v, s)
 	}
 	l.addWithdrawn(v)
 	l.assignChecks(services)
-	v.TargetIDs = maps.Clone(l.names.ids)
-	v.Targets = slices.Clone(l.names.targets)
+	v.TargetIDs = maps.Clone(l.ids.targetIDs)
+	v.Targets = slices.Clone(l.ids.targets)
 	l.plane.SetPeers(l.peerAddrs())
-	l.moves = append(l.moves, l.moved(v, l.router.SetView(now, v))...)
+	l.handovers = append(l.handovers, l.handoverMessages(v, l.router.SetView(now, v))...)
 }
 
+// addNodes adds the reachable balancers of the own group and the serving ones of other
+// groups to a view. The view is partial if a data centre has dead balancers and no
+// reachable one.
 func (l *Loop) addNodes(v *router.View) {
 	l.checkers = map[uint32]bool{}
-	here, gone := map[string]bool{}, map[string]bool{}
+	hasReachable, hasDead := map[string]bool{}, map[string]bool{}
 	v.Remotes = map[string][]router.Node{}
 	for _, r := range l.group.Members() {
 		l.logMember(r)
@@ -50,12 +53,12 @@
 			l.addRemote(v, r)
 			continue
 		}
-		self := r.Name == l.set.Name
+		self := r.Name == l.config.Name
 		if !self && !member.Reachable(r) {
-			gone[r.DataCenter] = gone[r.DataCenter] || r.Incarnation > 0 && r.Status == wire.Dead
+			hasDead[r.DataCenter] = hasDead[r.DataCenter] || r.Incarnation > 0 && r.Status == wire.Dead
 			continue
 		}
-		here[r.DataCenter] = true
+		hasReachable[r.DataCenter] = true
 		l.checkers[checkerID(r.Name)] = true
 		if self {
 			v.Self = len(v.Nodes)
@@ -68,8 +71,8 @@
 			Serving:    member.Serving(r),
 		})
 	}
-	for dc := range gone {
-		v.Partial = v.Partial || !here[dc]
+	for dc := range hasDead {
+		v.Partial = v.Partial || !hasReachable[dc]
 	}
 }
 
@@ -84,30 +87,30 @@
 	})
 }
 
-// checkerID names a member in findings about targets.
+// checkerID identifies a member in findings about targets.
 func checkerID(name string) uint32 { return uint32(rendezvous.Seed(name)) }
 
-func (l *Loop) liveChecker(id uint32) bool { return l.checkers[id] }
+func (l *Loop) isReachableChecker(id uint32) bool { return l.checkers[id] }
 
 // logMember logs a member whose status changed.
 func (l *Loop) logMember(r wire.Record) {
-	if old, ok := l.seen[r.Name]; r.Incarnation == 0 || ok && old == r.Status {
+	if old, ok := l.loggedStatus[r.Name]; r.Incarnation == 0 || ok && old == r.Status {
 		return
 	}
-	l.seen[r.Name] = r.Status
+	l.loggedStatus[r.Name] = r.Status
 	l.log.Info("member", zap.String("peer", r.Name), zap.Stringer("state", r.Status), zap.Uint64("incarnation", r.Incarnation))
 }
 
 func (l *Loop) inGroup(dc string) bool {
-	return len(l.set.Group) == 0 || slices.Contains(l.set.Group, dc)
+	return len(l.config.Group) == 0 || slices.Contains(l.config.Group, dc)
 }
 
 func (l *Loop) addService(now time.Duration, v *router.View, s *catalogue.Service) {
-	policy, _ := balance.ParsePolicy(l.set.Balance.Policy)
+	policy, _ := balance.ParsePolicy(l.config.Balance.Policy)
 	svc := router.Service{Name: s.Name, Slack: balance.SlackFor(s.BrokenFlowWeight), Policy: policy}
 	for _, a := range s.Addresses {
 		v.Addresses[a.Address] = router.Address{
-			ID:         l.names.address(s.Number, a.Address),
+			ID:         l.ids.address(s.Number, a.Address),
 			Service:    s.Number,
 			Class:      a.Class,
 			Idempotent: a.Idempotent,
@@ -120,13 +123,13 @@
 		if bt.Eligible {
 			eligible++
 		}
-		_, near := v.Remotes[t.DataCenter]
-		if healthy && near && t.State == catalogue.Active && !slices.Contains(svc.SpillTo, t.DataCenter) {
+		_, remote := v.Remotes[t.DataCenter]
+		if healthy && remote && t.State == catalogue.Active && !slices.Contains(svc.SpillTo, t.DataCenter) {
 			svc.SpillTo = append(svc.SpillTo, t.DataCenter)
 		}
 		svc.Targets = append(svc.Targets, bt)
 		if s.Streams() && l.inGroup(t.DataCenter) {
-			l.streamed[bt.ID] = wire.TargetHash(s.Number, t.Address)
+			l.streamTargets[bt.ID] = wire.TargetHash(s.Number, t.Address)
 		}
 	}
 	switch {
@@ -136,27 +139,27 @@
 		l.failOpen(s, svc.Targets)
 	}
 	v.Services[s.Number] = svc
-	l.remember(s, v)
+	l.recordService(s, v)
 }
 
 func (l *Loop) target(now time.Duration, s *catalogue.Service, t catalogue.Target) (balance.Target, bool) {
-	id := l.names.target(s.Number, t.Address, t.DataCenter)
-	st := l.health.State(now, wire.TargetHash(s.Number, t.Address), l.liveChecker)
+	id := l.ids.target(s.Number, t.Address, t.DataCenter)
+	st := l.health.State(now, wire.TargetHash(s.Number, t.Address), l.isReachableChecker)
 	healthy := !st.Known || st.Healthy
 	bt := balance.Target{
 		ID:       id,
 		Seed:     rendezvous.Seed(t.Address.String()),
 		Eligible: healthy && t.State == catalogue.Active && l.inGroup(t.DataCenter),
-		Ramp:     time.Duration(l.set.Balance.Ramp),
+		Ramp:     time.Duration(l.config.Balance.Ramp),
 	}
 	bt.Limit[balance.Connection] = s.Limits.Connections
 	bt.Limit[balance.Slot] = s.Limits.Slots
 	return bt, healthy
 }
 
-// failOpen makes all active targets eligible when every one is reported
-// unhealthy and no other group has any: the reports are then likelier to be wrong than right, and the
-// flows' own answers still show which targets work.
+// failOpen makes all active targets of a service eligible. It is called when all are
+// reported unhealthy and no other group has a healthy one: the reports are then more
+// likely to be wrong than right, and answers to flows still show which targets work.
 func (l *Loop) failOpen(s *catalogue.Service, ts []balance.Target) {
 	for i := range ts {
 		ts[i].Eligible = s.Targets[i].State == catalogue.Active && l.inGroup(s.Targets[i].DataCenter)
@@ -166,28 +169,29 @@
 	}
 }
 
-// retired is a service that was in force at some time.
-type retired struct {
+// knownService is a service that is or was in the catalogue since the start.
+type knownService struct {
 	name      string
 	addresses map[netip.AddrPort]router.Address
 }
 
-func (l *Loop) remember(s *catalogue.Service, v *router.View) {
-	r, ok := l.retired[s.Number]
+// recordService stores the addresses of a service for addWithdrawn.
+func (l *Loop) recordService(s *catalogue.Service, v *router.View) {
+	r, ok := l.knownServices[s.Number]
 	if !ok {
-		r = retired{addresses: map[netip.AddrPort]router.Address{}}
+		r = knownService{addresses: map[netip.AddrPort]router.Address{}}
 	}
 	r.name = s.Name
 	for _, a := range s.Addresses {
 		r.addresses[a.Address] = v.Addresses[a.Address]
 	}
-	l.retired[s.Number] = r
+	l.knownServices[s.Number] = r
 }
 
-// addWithdrawn keeps addresses and services that left the catalogue, without
-// new flows, so that the flows which they still have go on.
+// addWithdrawn adds the addresses and services that were removed from the catalogue to a
+// view. They get no new flows, but their open flows continue.
 func (l *Loop) addWithdrawn(v *router.View) {
-	for number, r := range l.retired {
+	for number, r := range l.knownServices {
 		if _, ok := v.Services[number]; !ok {
 			v.Services[number] = router.Service{Name: r.name}
 		}
@@ -200,7 +204,8 @@
 	}
 }
 
-func (l *Loop) logHeld(errs []error) {
+// logHeldBack logs the errors of entries held back when they change.
+func (l *Loop) logHeldBack(errs []error) {
 	var texts []string
 	for _, e := range errs {
 		texts = append(texts, e.Error())
@@ -214,8 +219,8 @@
 	}
 }
 
-// moved turns flows that changed their home into messages for the new homes.
-func (l *Loop) moved(v *router.View, ms []router.Moved) []outgoing {
+// handoverMessages returns the messages that hand flows over to their new homes.
+func (l *Loop) handoverMessages(v *router.View, ms []router.Moved) []outgoing {
 	byHome := map[string][]wire.Flow{}
 	for _, m := range ms {
 		name := v.Nodes[m.Home].Name
@@ -227,20 +232,20 @@
 	l.Count.HandedOver.Add(uint64(len(ms)))
 	var out []outgoing
 	for _, name := range slices.Sorted(maps.Keys(byHome)) {
-		out = append(out, outgoing{name, &wire.Message{Kind: wire.Handover, From: l.set.Name, Flows: byHome[name]}})
+		out = append(out, outgoing{name, &wire.Message{Kind: wire.Handover, From: l.config.Name, Flows: byHome[name]}})
 	}
 	return out
 }
 
-// outgoing is a message to a member by name.
+// outgoing is a message with the name of the member to send it to.
 type outgoing struct {
 	to  string
 	msg *wire.Message
 }
 
-func (l *Loop) sendMoved(ctx context.Context) {
-	for _, o := range l.moves {
+func (l *Loop) sendHandovers(ctx context.Context) {
+	for _, o := range l.handovers {
 		l.sendTo(ctx, o.to, o.msg)
 	}
-	l.moves = nil
+	l.handovers = nil
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,7 +7,7 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// Status is a balancer's state as operators see it.
+// Status is the state of a balancer for operators.
 type Status struct {
 	Name       string          `json:"name"`
 	DataCenter string          `json:"dataCenter"`
@@ -19,16 +19,16 @@
 	Members    []MemberStatus  `json:"members"`
 }
 
-// CatalogueStatus says which versions are in force.
+// CatalogueStatus lists the versions in force.
 type CatalogueStatus struct {
 	Index    uint64            `json:"index"`
 	Digest   uint64            `json:"digest"`
 	Versions map[string]uint64 `json:"versions"`
 	HeldBack []string          `json:"heldBack,omitempty"`
-	AgeMS    int64             `json:"ageMs"` // since the last change
+	AgeMS    int64             `json:"ageMs"` // milliseconds since the last change
 }
 
-// MemberStatus is another member as this one sees it.
+// MemberStatus is a member's state according to this balancer.
 type MemberStatus struct {
 	Name        string `json:"name"`
 	DataCenter  string `json:"dataCenter"`
@@ -37,7 +37,7 @@
 	Admin       string `json:"admin"`
 }
 
-// Status returns the state of the moment.
+// Status returns the current state.
 func (l *Loop) Status(ctx context.Context) (Status, error) {
 	var s Status
 	err := l.Do(ctx, func(now time.Duration) {
@@ -62,13 +62,13 @@
 }
 
 func (l *Loop) catalogueStatus(now time.Duration) CatalogueStatus {
-	v := l.cat.Versions()
+	v := l.catalogueState.Versions()
 	c := CatalogueStatus{
 		Index:    v.High(),
 		Digest:   v.Digest(),
 		Versions: map[string]uint64{},
 		HeldBack: l.heldBack,
-		AgeMS:    (now - l.catalogAt).Milliseconds(),
+		AgeMS:    (now - l.catalogueChangedAt).Milliseconds(),
 	}
 	for _, x := range v.All() {
 		if !x.Deleted() {
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -11,63 +11,64 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// checkersPerTarget balancers ask each target's health endpoint.
+// checkersPerTarget is the number of balancers that check each target's health endpoint.
 const checkersPerTarget = 2
 
-// check is a target that this balancer asks.
+// check is a target that this balancer checks.
 type check struct {
-	hash uint32
-	url  string
-	at   time.Duration // of the last question
+	hash        uint32
+	url         string
+	lastStarted time.Duration // start of the last check
 }
 
 // checkTargets starts the checks that are due.
 func (l *Loop) checkTargets(ctx context.Context, now time.Duration) {
 	for _, c := range l.checks {
-		if now-c.at >= health.Interval {
-			c.at = now
-			go l.check(ctx, c.hash, c.url)
+		if now-c.lastStarted >= health.Interval {
+			c.lastStarted = now
+			go l.runCheck(ctx, c.hash, c.url)
 		}
 	}
 }
 
-// assignChecks finds the targets that are this balancer's to check: it is one
-// of the first in their rendezvous order among their own data centre's members,
-// so that a check does not depend on paths between data centres. Without a
-// member there, all of the group take their place.
+// assignChecks determines the targets that this balancer checks: those for which it is
+// among the first checkersPerTarget in rendezvous order of the serving members in the
+// target's data centre, so that checks do not depend on paths between data centres. If
+// there is no such member, the members of the whole group are used.
 func (l *Loop) assignChecks(services []*catalogue.Service) {
 	old := l.checks
 	l.checks = map[uint32]*check{}
-	by := l.serving()
+	candidates := l.servingMembers()
 	for _, s := range services {
 		for _, t := range s.Targets {
 			if t.Health == "" || !l.inGroup(t.DataCenter) {
 				continue
 			}
 			hash := wire.TargetHash(s.Number, t.Address)
-			if !by.first(hash, t.DataCenter) {
+			if !candidates.isChecker(hash, t.DataCenter) {
 				continue
 			}
 			c := &check{hash: hash, url: t.Health}
 			if o := old[hash]; o != nil {
-				c.at = o.at
+				c.lastStarted = o.lastStarted
 			}
 			l.checks[hash] = c
 		}
 	}
 }
 
-// servingSeeds are the serving members of the group by data centre, and all of
-// them under the empty name, with the place of this balancer in each list.
-type servingSeeds struct {
+// checkerCandidates holds the hashes of the serving members of the group by data centre,
+// those of the whole group under the empty name, and the index of this balancer in each
+// list.
+type checkerCandidates struct {
 	seeds map[string][]uint64
 	self  map[string]int
 }
 
-func (l *Loop) serving() servingSeeds {
-	s := servingSeeds{map[string][]uint64{}, map[string]int{}}
+func (l *Loop) servingMembers() checkerCandidates {
+	s := checkerCandidates{map[string][]uint64{}, map[string]int{}}
 	for _, r := range l.group.Members() {
-		own := r.Name == l.set.Name
+		own := r.Name == l.config.Name
 		if !l.inGroup(r.DataCenter) || !own && !member.Serving(r) {
 			continue
 		}
@@ -81,8 +82,8 @@
 	return s
 }
 
-// first reports whether this balancer is one of a target's checkers.
-func (s servingSeeds) first(hash uint32, dc string) bool {
+// isChecker reports whether this balancer is one of a target's checkers.
+func (s checkerCandidates) isChecker(hash uint32, dc string) bool {
 	if len(s.seeds[dc]) == 0 {
 		dc = ""
 	}
@@ -98,7 +99,7 @@
 	return false
 }
 
-func (l *Loop) check(ctx context.Context, hash uint32, url string) {
+func (l *Loop) runCheck(ctx context.Context, hash uint32, url string) {
 	l.Count.HealthChecks.Add(1)
 	a, err := l.checker.Check(ctx, url)
 	if err != nil {
@@ -106,36 +107,36 @@
 	}
 	ok := err == nil && a.Healthy
 	l.post(ctx, func(now time.Duration) {
-		self := checkerID(l.set.Name)
+		self := checkerID(l.config.Name)
 		clock := uint32(time.Now().Unix())
 		if l.health.Result(now, self, hash, ok, a.Load, clock) {
-			l.rebuild = true
+			l.rebuildView = true
 			l.spreadHealth(ctx)
 		}
 	})
 }
 
-// spreadHealth sends changed findings on at once.
+// spreadHealth sends changed findings to a few peers without waiting for a heartbeat.
 func (l *Loop) spreadHealth(ctx context.Context) {
 	dirty := l.health.TakeDirty()
 	if len(dirty) == 0 {
 		return
 	}
 	peers := l.reachable()
-	const most = 3
-	for i := 0; i < len(peers) && i < most; i++ {
+	const maxReceivers = 3
+	for i := 0; i < len(peers) && i < maxReceivers; i++ {
 		to := peers[int(l.plane.Now()/time.Millisecond+time.Duration(i))%len(peers)]
-		l.sendTo(ctx, to, &wire.Message{Kind: wire.Gossip, From: l.set.Name, Health: dirty})
+		l.sendTo(ctx, to, &wire.Message{Kind: wire.Gossip, From: l.config.Name, Health: dirty})
 	}
 }
 
-// reportLoads passes the loads that endpoints reported to the data path.
+// reportLoads passes the loads that health endpoints reported to the router.
 func (l *Loop) reportLoads(now time.Duration) {
-	if !l.set.Balance.Hints {
+	if !l.config.Balance.Hints {
 		return
 	}
-	for hash, id := range l.names.byHash {
-		if st := l.health.State(now, hash, l.liveChecker); st.Known {
+	for hash, id := range l.ids.byHash {
+		if st := l.health.State(now, hash, l.isReachableChecker); st.Known {
 			l.router.ReportLoad(st.At, id, st.Load)
 		}
 	}
