--- a/internal/health/bench_test.go
+++ b/internal/health/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// countedConn counts what a checker's connections carry, above TCP.
+// countedConn counts the bytes that a connection carries above TCP.
 type countedConn struct {
 	net.Conn
 	n *atomic.Int64
@@ -27,8 +27,8 @@
 	return n, err
 }
 
-// BenchmarkCheck reports the bytes of one check on a kept-alive connection,
-// without the headers of its TCP segments.
+// BenchmarkCheck reports the bytes of one check on a kept-alive connection, without TCP and
+// IP headers.
 func BenchmarkCheck(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"healthy":true,"load":0.42}`))
--- a/internal/health/table.go
+++ b/internal/health/table.go
@@ -1,7 +1,7 @@
-// Package health merges what several balancers found out about targets. The
-// endpoints that they ask lag or mislead, so a finding only keeps new flows
-// away from a target: it never touches an established flow, and it is ignored
-// where it would leave a service without any target. It does no I/O.
+// Package health merges the findings of several balancers about targets. Health
+// endpoints can be outdated or wrong, so a finding only keeps new flows away from a
+// target: it never affects an established flow, and it is ignored if a service would be
+// left without any target. The package does no I/O, apart from Checker.
 package health
 
 import (
@@ -13,30 +13,31 @@
 )
 
 const (
-	// fresh is how long a finding counts, and kept how long it is remembered,
-	// so that one that comes again late is not news.
-	fresh = 30 * time.Second
-	kept  = 2 * time.Minute
-	// Fall and Rise are the consecutive results that change a checker's mind.
+	// findingMaxAge is the time for which a finding is used, and findingRetention the
+	// time for which it is kept, so that a late duplicate is not taken for a new one.
+	findingMaxAge    = 30 * time.Second
+	findingRetention = 2 * time.Minute
+	// Fall and Rise are the numbers of consecutive failed and successful checks after
+	// which a checker reports a target as unhealthy and healthy again.
 	Fall = 3
 	Rise = 2
 )
 
-// finding is a checker's last word with the time of its arrival here.
+// finding is a checker's latest finding with the time of its arrival.
 type finding struct {
 	wire.Health
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// Table holds findings of all checkers.
+// Table holds the findings of all checkers.
 type Table struct {
-	found  map[uint32][]finding // by target, one for each checker
-	streak map[uint32]streak
-	turn   int
-	dirty  []wire.Health
+	findings   map[uint32][]finding // by target, one for each checker
+	streak     map[uint32]streak
+	nextOffset int
+	dirty      []wire.Health
 }
 
-// streak counts this checker's own results for a target.
+// streak counts this balancer's consecutive results for a target.
 type streak struct {
 	healthy bool
 	bad     int
@@ -46,13 +47,15 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{found: map[uint32][]finding{}, streak: map[uint32]streak{}}
+	return &Table{findings: map[uint32][]finding{}, streak: map[uint32]streak{}}
 }
 
-// Result notes a result of this balancer's own check.
+// Result records the result of this balancer's own check of a target and reports whether
+// the finding changed. clock is the sequence number of the finding; it has to grow with
+// every result.
 func (t *Table) Result(now time.Duration, self uint32, target uint32, ok bool, load float64, clock uint32) (changed bool) {
 	s := t.streak[target]
-	was := s
+	before := s
 	if ok {
 		s.good, s.bad = s.good+1, 0
 	} else {
@@ -69,15 +72,15 @@
 	t.streak[target] = s
 	h := wire.Health{Target: target, Checker: self, Seq: clock, Healthy: s.healthy, Load: uint8(min(max(load, 0), 2.5) * 100)}
 	t.put(finding{h, now})
-	if !was.known || was.healthy != s.healthy {
+	if !before.known || before.healthy != s.healthy {
 		t.dirty = append(t.dirty, h)
 		return true
 	}
 	return false
 }
 
-// Merge takes a peer's finding if it is newer, and reports whether it changes
-// the target's health.
+// Merge stores a peer's finding if it is newer, and reports whether it changes the
+// target's health.
 func (t *Table) Merge(now time.Duration, h wire.Health) bool {
 	old, ok := t.get(h.Target, h.Checker)
 	if ok && int32(h.Seq-old.Seq) <= 0 {
@@ -85,14 +88,14 @@
 	}
 	t.put(finding{h, now})
 	if ok && old.Healthy == h.Healthy || !ok && h.Healthy {
-		return false // nothing that a target without findings is not
+		return false // a target without findings counts as healthy
 	}
 	t.dirty = append(t.dirty, h)
 	return true
 }
 
 func (t *Table) get(target, checker uint32) (finding, bool) {
-	for _, f := range t.found[target] {
+	for _, f := range t.findings[target] {
 		if f.Checker == checker {
 			return f, true
 		}
@@ -101,17 +104,18 @@
 }
 
 func (t *Table) put(f finding) {
-	list := t.found[f.Target]
+	list := t.findings[f.Target]
 	for i := range list {
 		if list[i].Checker == f.Checker {
 			list[i] = f
 			return
 		}
 	}
-	t.found[f.Target] = append(list, f)
+	t.findings[f.Target] = append(list, f)
 }
 
-// TakeDirty returns the findings that should be spread at once.
+// TakeDirty returns and clears the changed findings, which should be sent to peers
+// without waiting for a heartbeat.
 func (t *Table) TakeDirty() []wire.Health {
 	d := t.dirty
 	t.dirty = nil
@@ -123,41 +127,41 @@
 	Known   bool
 	Healthy bool
 	Load    float64
-	At      time.Duration // arrival of the load
+	At      time.Duration // arrival time of the load
 }
 
-// State merges the fresh findings about a target of the checkers that live
-// reports to be reachable: one that reaches the target outweighs others that do
-// not, since a broken path between a checker and the target is likelier than a
-// dead target that answers. Checkers beyond a partition say nothing about what
-// can be reached from here.
+// State merges the findings about a target of the checkers for which live returns true,
+// ignoring those older than findingMaxAge. A target is healthy if at least one checker
+// finds it so, as a broken path between the other checkers and the target is more likely
+// than a dead target that answers. Findings of checkers beyond a partition are left out,
+// because they don't show what is reachable from this side.
 func (t *Table) State(now time.Duration, target uint32, live func(checker uint32) bool) State {
 	var s State
-	for _, f := range t.found[target] {
-		if now-f.at > fresh || !live(f.Checker) {
+	for _, f := range t.findings[target] {
+		if now-f.receivedAt > findingMaxAge || !live(f.Checker) {
 			continue
 		}
 		s.Known = true
 		s.Healthy = s.Healthy || f.Healthy
-		if f.at >= s.At {
-			s.Load, s.At = float64(f.Load)/100, f.at
+		if f.receivedAt >= s.At {
+			s.Load, s.At = float64(f.Load)/100, f.receivedAt
 		}
 	}
 	return s
 }
 
-// Rotate returns up to n findings to put on a heartbeat, different ones each
-// time, and forgets old ones.
+// Rotate returns up to n findings for a heartbeat, the next ones at each call, and deletes
+// those older than findingRetention.
 func (t *Table) Rotate(now time.Duration, n int) []wire.Health {
 	var all []finding
-	for target, list := range t.found {
-		list = slices.DeleteFunc(list, func(f finding) bool { return now-f.at > kept })
-		t.found[target] = list
+	for target, list := range t.findings {
+		list = slices.DeleteFunc(list, func(f finding) bool { return now-f.receivedAt > findingRetention })
+		t.findings[target] = list
 		if len(list) == 0 {
-			delete(t.found, target)
+			delete(t.findings, target)
 		}
 		for _, f := range list {
-			if now-f.at <= fresh {
+			if now-f.receivedAt <= findingMaxAge {
 				all = append(all, f)
 			}
 		}
@@ -167,8 +171,8 @@
 	})
 	var out []wire.Health
 	for i := 0; i < len(all) && i < n; i++ {
-		out = append(out, all[(t.turn+i)%len(all)].Health)
+		out = append(out, all[(t.nextOffset+i)%len(all)].Health)
 	}
-	t.turn += len(out)
+	t.nextOffset += len(out)
 	return out
 }
