--- a/internal/link/counting.go
+++ b/internal/link/counting.go
@@ -2,18 +2,19 @@
 
 import "net"
 
-// headers is the size of the UDP and IPv4 headers of a datagram.
-const headers = 28
+// headerSize is the size of the UDP and IPv4 headerSize of a datagram.
+const headerSize = 28
 
-// countingConn counts bytes on the wire, handshakes and acknowledgements
-// included. It embeds only net.PacketConn: with the batch methods of a UDPConn
-// quic-go would read and write past the count.
+// countingConn counts the bytes on the wire, including handshakes and acknowledgements.
+// It embeds net.PacketConn rather than net.UDPConn, because quic-go would use the batch
+// methods of the latter, which are not counted.
 type countingConn struct {
 	net.PacketConn
 	count *Counts
 }
 
-// SetReadBuffer and SetWriteBuffer let quic-go size the socket's buffers.
+// SetReadBuffer sets the size of the receive buffer. quic-go looks for this method and
+// SetWriteBuffer.
 func (c *countingConn) SetReadBuffer(n int) error {
 	return c.PacketConn.(*net.UDPConn).SetReadBuffer(n)
 }
@@ -27,7 +28,7 @@
 func (c *countingConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, a, err := c.PacketConn.ReadFrom(b)
 	if err == nil {
-		c.count.BytesIn.Add(uint64(n) + headers)
+		c.count.BytesIn.Add(uint64(n) + headerSize)
 	}
 	return n, a, err
 }
@@ -36,7 +37,7 @@
 func (c *countingConn) WriteTo(b []byte, a net.Addr) (int, error) {
 	n, err := c.PacketConn.WriteTo(b, a)
 	if err == nil {
-		c.count.BytesOut.Add(uint64(n) + headers)
+		c.count.BytesOut.Add(uint64(n) + headerSize)
 	}
 	return n, err
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link carries control messages between balancers over QUIC with
-// mutual TLS. Small messages travel as datagrams, large ones on streams.
+// Package link transports control messages between balancers over QUIC with mutual TLS.
+// Small messages are sent as datagrams, large ones on streams.
 package link
 
 import (
@@ -24,46 +24,47 @@
 	idleTimeout = 45 * time.Second
 	dialTimeout = 2 * time.Second
 	sendTimeout = 5 * time.Second
-	// maxDatagram fits a QUIC packet on any path that carries the fabric's.
+	// maxDatagram is the maximum size in bytes of a message sent as a datagram. It fits
+	// one QUIC packet on any path that carries the packets of the fabric.
 	maxDatagram = 1000
-	inbox       = 1024
-	// connectionAge ends connections, plus up to a quarter at random, so that
-	// they are made again with the keys of the day.
-	connectionAge = time.Hour
+	inboxLength = 1024
+	// maxConnectionAge is the age, plus up to a quarter at random, at which connections
+	// are closed, so that the next handshake uses the current keys.
+	maxConnectionAge = time.Hour
 )
 
-// Counts are totals since the start, in messages and in bytes on the wire
-// including 28 bytes of UDP and IP header for each packet.
+// Counts are totals since the start of the process, in connections, messages and bytes.
+// BytesIn and BytesOut include 28 bytes of UDP and IP headers for each packet.
 type Counts struct {
 	Dials, DialErrors, Refused, SendErrors, Undecodable, Overflow atomic.Uint64
-	Renewed                                                       atomic.Uint64 // connections ended at their age
+	Renewed                                                       atomic.Uint64 // connections closed at maxConnectionAge
 	BytesIn, BytesOut, Messages                                   atomic.Uint64
-	// Sent are the encoded bytes of the messages of each kind.
+	// Sent is the number of encoded bytes of the messages of each kind.
 	Sent [wire.Kinds]atomic.Uint64
 }
 
-// Incoming is a message with the verified name of its sender.
+// Incoming is a received message with the verified name of its sender.
 type Incoming struct {
 	From string
 	Msg  *wire.Message
 }
 
-// Link is a VM's end of all its connections.
+// Link holds a VM's connections to other balancers.
 type Link struct {
 	Count Counts
 
-	age   time.Duration // of a connection; see connectionAge
-	tr    *quic.Transport
-	tls   *tls.Config
-	quic  *quic.Config
-	in    chan Incoming
-	mu    sync.Mutex
-	peers map[string]*peer
+	maxAge    time.Duration // of a connection; see maxConnectionAge
+	transport *quic.Transport
+	tls       *tls.Config
+	quic      *quic.Config
+	incoming  chan Incoming
+	mu        sync.Mutex
+	peers     map[string]*peer
 }
 
-// New listens on addr with the certificates in files.
+// New opens the UDP socket at addr and loads the certificates in files.
 func New(addr netip.AddrPort, files keys.Files) (*Link, error) {
-	l := &Link{age: connectionAge}
+	l := &Link{maxAge: maxConnectionAge}
 	conf, err := files.Load(func() { l.Count.Refused.Add(1) })
 	if err != nil {
 		return nil, err
@@ -81,24 +82,24 @@
 		InitialConnectionReceiveWindow: 64 << 10,
 		DisablePathMTUDiscovery:        true,
 	}
-	l.in = make(chan Incoming, inbox)
+	l.incoming = make(chan Incoming, inboxLength)
 	l.peers = map[string]*peer{}
-	l.tr = &quic.Transport{Conn: &countingConn{PacketConn: c, count: &l.Count}}
+	l.transport = &quic.Transport{Conn: &countingConn{PacketConn: c, count: &l.Count}}
 	return l, nil
 }
 
-// Messages returns the incoming messages.
-func (l *Link) Messages() <-chan Incoming { return l.in }
+// Messages returns the channel of incoming messages.
+func (l *Link) Messages() <-chan Incoming { return l.incoming }
 
-// Run accepts connections until ctx ends.
+// Run accepts connections until ctx ends, and then closes the socket.
 func (l *Link) Run(ctx context.Context) error {
-	ln, err := l.tr.Listen(l.tls, l.quic)
+	ln, err := l.transport.Listen(l.tls, l.quic)
 	if err != nil {
 		return errors.Wrap(err, "link: listen")
 	}
 	defer func() {
-		_ = l.tr.Close()
-		_ = l.tr.Conn.Close() // which the transport leaves open
+		_ = l.transport.Close()
+		_ = l.transport.Conn.Close() // not closed by the transport
 	}()
 	for {
 		c, err := ln.Accept(ctx)
@@ -109,9 +110,10 @@
 	}
 }
 
-// Send sends m to the member name at addr. It never blocks: messages wait in a
-// short queue while a connection is made or is slow, and what does not fit is
-// counted and dropped, as heartbeats repair all state.
+// Send sends m to the member name at addr, and opens a connection if there is none. It
+// never blocks: messages wait in a short queue while a connection is being opened or is
+// slow. Messages that do not fit the queue are counted and dropped, as later heartbeats
+// repair all state.
 func (l *Link) Send(ctx context.Context, name string, addr netip.AddrPort, m *wire.Message) {
 	b, err := wire.Encode(m)
 	if err != nil {
@@ -139,25 +141,25 @@
 	defer cancel()
 	conf := l.tls.Clone()
 	conf.ServerName = name
-	c, err := l.tr.Dial(dctx, net.UDPAddrFromAddrPort(addr), conf, l.quic)
+	c, err := l.transport.Dial(dctx, net.UDPAddrFromAddrPort(addr), conf, l.quic)
 	if err != nil {
 		l.Count.DialErrors.Add(1)
-		l.forget(name, p)
+		l.removePeer(name, p)
 		return
 	}
 	if keys.Name(c.ConnectionState().TLS) != name {
 		l.Count.Refused.Add(1)
 		_ = c.CloseWithError(1, "another name than expected")
-		l.forget(name, p)
+		l.removePeer(name, p)
 		return
 	}
-	go l.write(c, p)
-	l.read(ctx, c, name)
-	l.forget(name, p)
+	go l.writeMessages(c, p)
+	l.readMessages(ctx, c, name)
+	l.removePeer(name, p)
 }
 
-// accept serves a connection that a peer made. It is used for sending too, if
-// there is no other yet.
+// accept handles a connection that a peer opened. It is also used for sending if there is
+// no other connection to that peer.
 func (l *Link) accept(ctx context.Context, c *quic.Conn) {
 	name := keys.Name(c.ConnectionState().TLS)
 	if name == "" {
@@ -167,22 +169,22 @@
 	}
 	l.mu.Lock()
 	p := l.peers[name]
-	own := p == nil
-	if own {
+	added := p == nil
+	if added {
 		p = newPeer()
 		l.peers[name] = p
 	}
 	l.mu.Unlock()
-	if own {
-		go l.write(c, p)
+	if added {
+		go l.writeMessages(c, p)
 	}
-	l.read(ctx, c, name)
-	if own {
-		l.forget(name, p)
+	l.readMessages(ctx, c, name)
+	if added {
+		l.removePeer(name, p)
 	}
 }
 
-func (l *Link) forget(name string, p *peer) {
+func (l *Link) removePeer(name string, p *peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.peers[name] == p {
@@ -190,21 +192,20 @@
 	}
 }
 
-// write sends a peer's messages in their order until the connection ends.
-// Sending a datagram may block, which only holds up this peer.
+// writeMessages sends a peer's messages in their order until the connection ends. Sending
+// a datagram can block, which delays only this peer.
 //
-// Failure: a key is stolen and replaced everywhere, but its connections go on,
-// as heartbeats keep them open for ever. It shows as a peer that no handshake
-// would accept any more. Connections end at their age, and heartbeats repair
-// what was on its way.
-func (l *Link) write(c *quic.Conn, p *peer) {
-	old := time.NewTimer(l.age + rand.N(l.age/4))
-	defer old.Stop()
+// It closes the connection at maxAge. Without this, connections made with a stolen key
+// would stay open after the key was replaced everywhere, because heartbeats keep them
+// alive. Later heartbeats repair the state of messages that are lost by closing.
+func (l *Link) writeMessages(c *quic.Conn, p *peer) {
+	expired := time.NewTimer(l.maxAge + rand.N(l.maxAge/4))
+	defer expired.Stop()
 	for {
 		select {
 		case <-c.Context().Done():
 			return
-		case <-old.C:
+		case <-expired.C:
 			l.Count.Renewed.Add(1)
 			_ = c.CloseWithError(0, "renewed")
 			return
@@ -213,7 +214,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), sendTimeout)
-			if err := stream(ctx, c, b); err != nil {
+			if err := sendStream(ctx, c, b); err != nil {
 				l.Count.SendErrors.Add(1)
 			}
 			cancel()
@@ -221,7 +222,8 @@
 	}
 }
 
-func stream(ctx context.Context, c *quic.Conn, b []byte) error {
+// sendStream sends one message on its own stream.
+func sendStream(ctx context.Context, c *quic.Conn, b []byte) error {
 	s, err := c.OpenUniStreamSync(ctx)
 	if err != nil {
 		return errors.Wrap(err, "link: open stream")
@@ -235,12 +237,12 @@
 	return errors.Wrap(s.Close(), "link: close stream")
 }
 
-// read delivers a connection's messages until it ends.
-func (l *Link) read(ctx context.Context, c *quic.Conn, name string) {
+// readMessages delivers the messages of a connection until it ends.
+func (l *Link) readMessages(ctx context.Context, c *quic.Conn, name string) {
 	stop := context.AfterFunc(ctx, func() { _ = c.CloseWithError(0, "closing") })
 	defer stop()
 	defer func() { _ = c.CloseWithError(0, "") }()
-	go l.streams(ctx, c, name)
+	go l.readStreams(ctx, c, name)
 	for {
 		b, err := c.ReceiveDatagram(ctx)
 		if err != nil {
@@ -250,7 +252,8 @@
 	}
 }
 
-func (l *Link) streams(ctx context.Context, c *quic.Conn, name string) {
+// readStreams delivers the messages that arrive on streams.
+func (l *Link) readStreams(ctx context.Context, c *quic.Conn, name string) {
 	for {
 		s, err := c.AcceptUniStream(ctx)
 		if err != nil {
@@ -266,6 +269,8 @@
 	}
 }
 
+// deliver queues a message for Messages. Messages under another name than that of the
+// peer's certificate are counted and dropped, as are those that do not fit the queue.
 func (l *Link) deliver(name string, b []byte) {
 	m, err := wire.Decode(b)
 	if err != nil || m.From != name {
@@ -273,7 +278,7 @@
 		return
 	}
 	select {
-	case l.in <- Incoming{name, m}:
+	case l.incoming <- Incoming{name, m}:
 	default:
 		l.Count.Overflow.Add(1)
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -13,9 +13,9 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-const limit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func files(t *testing.T, ca keys.Pair, name string) keys.Files {
+func memberFiles(t *testing.T, ca keys.Pair, name string) keys.Files {
 	t.Helper()
 	dir := t.TempDir()
 	f := keys.Files{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "crt"), Key: filepath.Join(dir, "key")}
@@ -24,7 +24,7 @@
 	return f
 }
 
-// certify writes a new certificate of the VM name.
+// certify writes a key and a certificate of the VM name, signed by ca.
 func certify(t *testing.T, f keys.Files, ca keys.Pair, name string) {
 	t.Helper()
 	p, err := keys.NewMember(ca, name, time.Hour, time.Now())
@@ -42,7 +42,7 @@
 	}
 }
 
-func authority(t *testing.T) keys.Pair {
+func newAuthority(t *testing.T) keys.Pair {
 	t.Helper()
 	ca, err := keys.NewAuthority("test", time.Hour, time.Now())
 	if err != nil {
@@ -53,16 +53,16 @@
 
 func start(t *testing.T, f keys.Files, addr string) *Link {
 	t.Helper()
-	return startAged(t, f, addr, connectionAge)
+	return startWithAge(t, f, addr, maxConnectionAge)
 }
 
-func startAged(t *testing.T, f keys.Files, addr string, age time.Duration) *Link {
+func startWithAge(t *testing.T, f keys.Files, addr string, maxAge time.Duration) *Link {
 	t.Helper()
 	l, err := New(netip.MustParseAddrPort(addr), f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.age = age
+	l.maxAge = maxAge
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { _ = l.Run(ctx); close(done) }()
@@ -70,10 +70,10 @@
 	return l
 }
 
-// until sends again until f holds: single messages may be lost by design.
-func until(t *testing.T, what string, send func(), f func() bool) {
+// sendUntil sends again sendUntil f holds: single messages may be lost by design.
+func sendUntil(t *testing.T, what string, send func(), f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		send()
 		if f() {
 			return
@@ -85,15 +85,15 @@
 	}
 }
 
-// Small messages travel as datagrams and large ones on streams; both arrive
-// under the sender's verified name.
+// Small messages, sent as datagrams, and large ones, sent on streams, arrive with the
+// verified name of the sender.
 func TestMessagesArrive(t *testing.T) {
-	ca := authority(t)
-	a := start(t, files(t, ca, "vm-a"), "127.0.8.1:7100")
-	b := start(t, files(t, ca, "vm-b"), "127.0.8.2:7100")
+	ca := newAuthority(t)
+	a := start(t, memberFiles(t, ca, "vm-a"), "127.0.8.1:7100")
+	b := start(t, memberFiles(t, ca, "vm-b"), "127.0.8.2:7100")
 	for _, size := range []int{10, 300_000} {
 		m := &wire.Message{Kind: wire.Push, From: "vm-a", Versions: []catalogue.Version{{Name: "x", Text: make([]byte, size)}}}
-		until(t, "a message", func() { a.Send(context.Background(), "vm-b", netip.MustParseAddrPort("127.0.8.2:7100"), m) }, func() bool {
+		sendUntil(t, "a message", func() { a.Send(context.Background(), "vm-b", netip.MustParseAddrPort("127.0.8.2:7100"), m) }, func() bool {
 			select {
 			case in := <-b.Messages():
 				return in.From == "vm-a" && len(in.Msg.Versions) == 1 && len(in.Msg.Versions[0].Text) == size
@@ -103,32 +103,31 @@
 		})
 	}
 	if b.Count.BytesIn.Load() < 300_000 {
-		t.Errorf("%d bytes were counted", b.Count.BytesIn.Load())
+		t.Errorf("%d bytes were counted, want at least 300000", b.Count.BytesIn.Load())
 	}
 }
 
-// Someone with a certificate of another authority speaks to a balancer. It is
-// refused and counted, and nothing of it is delivered.
-func TestForeignPeerIsRefused(t *testing.T) {
-	stranger := start(t, files(t, authority(t), "vm-a"), "127.0.8.3:7100")
-	b := start(t, files(t, authority(t), "vm-b"), "127.0.8.4:7100")
+// A connection with a certificate of another authority is refused and counted, and none
+// of its messages is delivered.
+func TestPeerOfAnotherAuthorityIsRefused(t *testing.T) {
+	stranger := start(t, memberFiles(t, newAuthority(t), "vm-a"), "127.0.8.3:7100")
+	b := start(t, memberFiles(t, newAuthority(t), "vm-b"), "127.0.8.4:7100")
 	to := netip.MustParseAddrPort("127.0.8.4:7100")
-	until(t, "a refusal", func() {
+	sendUntil(t, "a refusal", func() {
 		stranger.Send(context.Background(), "vm-b", to, &wire.Message{Kind: wire.Ping, From: "vm-a"})
 	}, func() bool { return b.Count.Refused.Load()+stranger.Count.Refused.Load() > 0 })
 	if len(b.Messages()) > 0 {
-		t.Fatal("a message of a stranger was delivered")
+		t.Fatal("a message of a refused peer was delivered")
 	}
 }
 
-// A member claims to be another one. Its certificate says who it is, so that
-// the message is dropped.
-func TestForeignNameIsDropped(t *testing.T) {
-	ca := authority(t)
-	a := start(t, files(t, ca, "vm-a"), "127.0.8.5:7100")
-	b := start(t, files(t, ca, "vm-b"), "127.0.8.6:7100")
+// A message whose sender name differs from the name in the peer's certificate is dropped.
+func TestMessageUnderAnotherNameIsDropped(t *testing.T) {
+	ca := newAuthority(t)
+	a := start(t, memberFiles(t, ca, "vm-a"), "127.0.8.5:7100")
+	b := start(t, memberFiles(t, ca, "vm-b"), "127.0.8.6:7100")
 	to := netip.MustParseAddrPort("127.0.8.6:7100")
-	until(t, "a drop", func() {
+	sendUntil(t, "a drop", func() {
 		a.Send(context.Background(), "vm-b", to, &wire.Message{Kind: wire.Ping, From: "vm-c"})
 	}, func() bool { return b.Count.Undecodable.Load() > 0 })
 	if len(b.Messages()) > 0 {
