--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,6 @@
-// Package wire defines the messages between balancers. They are CBOR maps
-// with integer keys: a receiver ignores keys that it does not know, so that
-// two versions of the daemon can run side by side during an upgrade.
+// Package wire defines the control messages between balancers. They are CBOR maps with
+// integer keys. Receivers ignore unknown keys, so that two versions of the daemon can run
+// side by side during an upgrade.
 package wire
 
 import (
@@ -12,14 +12,14 @@
 	"rosedale.dev/rosedale/internal/catalogue"
 )
 
-// Version is the protocol version of this build. MinVersion is the oldest
-// that it still understands.
+// Version is the protocol version of this build, and MinVersion the oldest one that it
+// accepts.
 const (
 	Version    = 1
 	MinVersion = 1
 )
 
-// Kind says what a message is for.
+// Kind is the purpose of a message.
 type Kind uint8
 
 // Kinds of messages.
@@ -27,7 +27,7 @@
 	Ping     Kind = iota + 1 // heartbeat; answered by Ack
 	Ack                      // answers Ping
 	PingReq                  // asks the receiver to ping Target for the sender
-	Gossip                   // updates that should not wait for a heartbeat
+	Gossip                   // member records and findings that should not wait for a heartbeat
 	Pull                     // asks for catalogue versions and member records
 	Push                     // carries catalogue versions
 	Handover                 // carries flows to their new home
@@ -47,21 +47,21 @@
 	return "unknown"
 }
 
-// Status is the state of a member. Of two records with the same incarnation
-// the one with the higher status is in force.
+// Status is the state of a member. Of two records with the same incarnation, the one with
+// the higher status is in force.
 type Status uint8
 
 // Statuses of members.
 const (
-	Starting Status = iota + 1 // catalogue not complete yet; serves nothing
+	Starting Status = iota + 1 // the catalogue is not complete; home of no flows
 	Alive
-	Suspect // missed heartbeats; still counted as alive
-	Leaving // planned stop; forwards, decides nothing
+	Suspect // missed heartbeats; still pinged, but home of no flows
+	Leaving // planned stop; forwards packets, but home of no flows
 	Dead
 	Left
 )
 
-// String returns the status as operators see it.
+// String returns the status name in logs and in the operators' view.
 func (s Status) String() string {
 	names := [...]string{"none", "starting", "alive", "suspect", "leaving", "dead", "left"}
 	if int(s) < len(names) {
@@ -70,7 +70,7 @@
 	return "unknown"
 }
 
-// Record describes a member.
+// Record is an entry of the member list.
 type Record struct {
 	Name        string         `cbor:"1,keyasint"`
 	DataCenter  string         `cbor:"2,keyasint"`
@@ -81,27 +81,27 @@
 	Admin       netip.AddrPort `cbor:"7,keyasint"`
 }
 
-// TargetConnections is the number of stream connections that the sender's flows hold at a
-// target, which is named by TargetHash.
+// TargetConnections is the number of stream connections of the sender's flows to a target,
+// which is identified by its TargetHash.
 type TargetConnections struct {
 	_           struct{} `cbor:",toarray"`
 	Target      uint32
 	Connections uint32
 }
 
-// Health is a checker's newest finding about a target. Load is in 1/100 of
-// the target's capacity.
+// Health is a checker's latest finding about a target. Load is in percent of the target's
+// capacity.
 type Health struct {
 	_       struct{} `cbor:",toarray"`
 	Target  uint32
 	Checker uint32
-	Seq     uint32 // seconds of the checker's clock; grows with each finding
+	Seq     uint32 // Unix time at the checker in seconds; grows with each finding
 	Healthy bool
 	Load    uint8
 }
 
-// Flow is a flow that changes its home. Opening carries the caller's opening
-// packet while no target has accepted it.
+// Flow is a flow that is handed over to its new home. Opening contains the caller's opening
+// packet until a target has accepted it.
 type Flow struct {
 	Caller  netip.AddrPort `cbor:"1,keyasint"`
 	Address netip.AddrPort `cbor:"2,keyasint"`
@@ -113,7 +113,7 @@
 	Lost    []netip.Addr   `cbor:"8,keyasint,omitempty"`
 }
 
-// Message is one message. Unused fields stay empty and take no room.
+// Message is a message of any kind. Empty optional fields are not encoded.
 type Message struct {
 	Version           uint8               `cbor:"1,keyasint"`
 	Kind              Kind                `cbor:"2,keyasint"`
@@ -127,34 +127,34 @@
 	TargetConnections []TargetConnections `cbor:"10,keyasint,omitempty"`
 	Health            []Health            `cbor:"11,keyasint,omitempty"`
 	Above             uint64              `cbor:"12,keyasint,omitempty"` // Pull: versions above this index
-	Have              map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: indexes that the sender has
-	Full              bool                `cbor:"14,keyasint,omitempty"` // Pull: Have is complete; member records too
+	Have              map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: the sender's index of each catalogue entry
+	Full              bool                `cbor:"14,keyasint,omitempty"` // Pull: Have and Updates are complete
 	Versions          []catalogue.Version `cbor:"15,keyasint,omitempty"`
 	Flows             []Flow              `cbor:"16,keyasint,omitempty"`
 }
 
-// ErrVersion is the error of a message that is too old to be understood.
+// ErrVersion is returned for a message of a version below MinVersion.
 var ErrVersion = errors.New("wire: unsupported protocol version")
 
-// MaxSize bounds an encoded message.
+// MaxSize is the maximum size of an encoded message in bytes.
 const MaxSize = 8 << 20
 
 var (
-	enc, _ = cbor.EncOptions{}.EncMode()
-	dec, _ = cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 16}.DecMode()
+	encMode, _ = cbor.EncOptions{}.EncMode()
+	decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 16}.DecMode()
 )
 
-// Encode returns the encoded message, with this build's version.
+// Encode sets the version of m to that of this build and returns the encoded message.
 func Encode(m *Message) ([]byte, error) {
 	m.Version = Version
-	b, err := enc.Marshal(m)
+	b, err := encMode.Marshal(m)
 	return b, errors.Wrap(err, "wire: encode message")
 }
 
-// Decode reads a message of any version from MinVersion on.
+// Decode decodes a message of any version from MinVersion on.
 func Decode(b []byte) (*Message, error) {
 	var m Message
-	if err := dec.Unmarshal(b, &m); err != nil {
+	if err := decMode.Unmarshal(b, &m); err != nil {
 		return nil, errors.Wrap(err, "wire: decode message")
 	}
 	if m.Version < MinVersion {
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// During an upgrade a balancer of the next version sends fields that this one
-// does not know. What it knows must still be read.
-func TestMessageOfNextVersion(t *testing.T) {
+// During an upgrade, a balancer of the next version sends unknown fields. The known ones
+// must still be decoded.
+func TestDecodeMessageOfNextVersion(t *testing.T) {
 	next := map[int]any{1: Version + 1, 2: Ping, 3: "vm-a", 4: 7, 90: "a new field", 91: map[string]int{"x": 1},
 		6: []map[int]any{{1: "vm-b", 5: 4, 6: Alive, 50: "new"}}}
 	b, err := cbor.Marshal(next)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTooOldIsRefused(t *testing.T) {
+func TestUnsupportedVersionIsRejected(t *testing.T) {
 	b, _ := cbor.Marshal(map[int]any{1: MinVersion - 1, 2: Ping})
 	if _, err := Decode(b); err != ErrVersion {
 		t.Fatal(err)
--- a/internal/wire/targethash.go
+++ b/internal/wire/targethash.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TargetHash names a target in heartbeats. A collision would only blur two
-// targets' load hints.
+// TargetHash returns the identifier of a target in heartbeats. A collision would only mix
+// the load reports of two targets.
 func TargetHash(service uint32, addr netip.Addr) uint32 {
 	var b [20]byte
 	a := addr.As16()
