--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics publishes the daemon's totals through tally as Prometheus
-// text. The hot paths only add to atomic counters; a Collector copies their
-// growth to tally now and then.
+// Package metrics publishes the daemon's counters and gauges through tally in the
+// Prometheus text format. The hot paths only add to atomic counters; a Collector
+// periodically copies their increase to tally.
 package metrics
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Interval is the time between two copies.
+// Interval is the period at which Collect is called and tally reports its values.
 const Interval = time.Second
 
-// Collector copies totals and levels to tally.
+// Collector copies the values of counters and gauges to tally.
 type Collector struct {
 	scope    tally.Scope
 	closer   io.Closer
@@ -38,7 +38,7 @@
 
 // New returns a Collector without metrics.
 func New() *Collector {
-	t := newText()
+	t := newTextReporter()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "rosedale",
 		CachedReporter:         t,
@@ -48,22 +48,22 @@
 	return &Collector{scope: scope, closer: closer, handler: t}
 }
 
-// Histogram publishes durations, in seconds, sorted into buckets.
+// Histogram registers and returns a histogram of durations, published in seconds.
 func (c *Collector) Histogram(name string, buckets tally.DurationBuckets) tally.Histogram {
 	return c.scope.Histogram(name, buckets)
 }
 
-// Counter publishes a total that only grows.
+// Counter registers a counter; total returns its value, which must not decrease.
 func (c *Collector) Counter(name string, total func() uint64) {
 	c.counters = append(c.counters, counter{total: total, c: c.scope.Counter(name)})
 }
 
-// Gauge publishes a level.
+// Gauge registers a gauge; level returns its value.
 func (c *Collector) Gauge(name string, level func() float64) {
 	c.gauges = append(c.gauges, gauge{level, c.scope.Gauge(name)})
 }
 
-// Collect copies once.
+// Collect copies the current values to tally.
 func (c *Collector) Collect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,8 +78,8 @@
 	}
 }
 
-// Handler serves the Prometheus text.
+// Handler returns the HTTP handler that serves the metrics in the Prometheus text format.
 func (c *Collector) Handler() http.Handler { return c.handler }
 
-// Close ends the reporting.
+// Close stops the reporting.
 func (c *Collector) Close() error { return c.closer.Close() }
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -12,16 +12,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// contentType is that of the Prometheus text format.
+// contentType is the media type of the Prometheus text format.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// text is a tally reporter that keeps the last values and serves them as
-// Prometheus text.
-//
-// Gain: without the Prometheus client library a start takes 1.2 ms less of a
-// processor and 1.5 MB less memory (50 starts with -check; peak of a day), which
-// is 14 ms sooner on a VM with 0.088 of a core, after a failure of all.
-type text struct {
+// textReporter is a tally reporter that keeps the last values and serves them in the
+// Prometheus text format. It replaces the Prometheus client library, which costs 1.2 ms
+// of processor time per start and 1.5 MB of peak memory. On a VM with 0.088 of a core,
+// 1.2 ms are 14 ms of a start after a failure of all VMs.
+type textReporter struct {
 	mu         sync.Mutex
 	counters   map[string]*atomic.Int64
 	gauges     map[string]*gaugeValue
@@ -33,46 +31,46 @@
 	v  float64
 }
 
-// histogram holds the samples of each bucket, by its upper bound.
+// histogram holds the buckets of a histogram with the samples in each.
 type histogram struct{ buckets []*bucket }
 
 type bucket struct {
-	upper   float64
+	upper   float64 // bound, inclusive
 	samples atomic.Int64
 }
 
-func newText() *text {
-	return &text{counters: map[string]*atomic.Int64{}, gauges: map[string]*gaugeValue{}, histograms: map[string]*histogram{}}
+func newTextReporter() *textReporter {
+	return &textReporter{counters: map[string]*atomic.Int64{}, gauges: map[string]*gaugeValue{}, histograms: map[string]*histogram{}}
 }
 
 // Capabilities implements tally.CachedStatsReporter.
-func (t *text) Capabilities() tally.Capabilities { return t }
+func (t *textReporter) Capabilities() tally.Capabilities { return t }
 
 // Reporting implements tally.Capabilities.
-func (t *text) Reporting() bool { return true }
+func (t *textReporter) Reporting() bool { return true }
 
 // Tagging implements tally.Capabilities.
-func (t *text) Tagging() bool { return false }
+func (t *textReporter) Tagging() bool { return false }
 
 // Flush implements tally.CachedStatsReporter.
-func (t *text) Flush() {}
+func (t *textReporter) Flush() {}
 
 // AllocateCounter implements tally.CachedStatsReporter.
-func (t *text) AllocateCounter(name string, _ map[string]string) tally.CachedCount {
+func (t *textReporter) AllocateCounter(name string, _ map[string]string) tally.CachedCount {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := &atomic.Int64{}
 	t.counters[name] = c
-	return count{c}
+	return cachedCounter{c}
 }
 
-type count struct{ total *atomic.Int64 }
+type cachedCounter struct{ total *atomic.Int64 }
 
 // ReportCount implements tally.CachedCount.
-func (c count) ReportCount(n int64) { c.total.Add(n) }
+func (c cachedCounter) ReportCount(n int64) { c.total.Add(n) }
 
 // AllocateGauge implements tally.CachedStatsReporter.
-func (t *text) AllocateGauge(name string, _ map[string]string) tally.CachedGauge {
+func (t *textReporter) AllocateGauge(name string, _ map[string]string) tally.CachedGauge {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := &gaugeValue{}
@@ -89,7 +87,7 @@
 
 // AllocateTimer implements tally.CachedStatsReporter. Durations go to
 // histograms instead.
-func (t *text) AllocateTimer(string, map[string]string) tally.CachedTimer { return noTimer{} }
+func (t *textReporter) AllocateTimer(string, map[string]string) tally.CachedTimer { return noTimer{} }
 
 type noTimer struct{}
 
@@ -97,7 +95,7 @@
 func (noTimer) ReportTimer(time.Duration) {}
 
 // AllocateHistogram implements tally.CachedStatsReporter.
-func (t *text) AllocateHistogram(name string, _ map[string]string, _ tally.Buckets) tally.CachedHistogram {
+func (t *textReporter) AllocateHistogram(name string, _ map[string]string, _ tally.Buckets) tally.CachedHistogram {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &histogram{}
@@ -121,26 +119,26 @@
 func (b *bucket) ReportSamples(n int64) { b.samples.Add(n) }
 
 // ServeHTTP writes all values.
-func (t *text) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (t *textReporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.Header().Set("Content-Type", contentType)
 	out := bufio.NewWriter(w)
-	for _, n := range sorted(t.counters) {
+	for _, n := range sortedKeys(t.counters) {
 		writeType(out, n, "counter")
 		writeValue(out, n, float64(t.counters[n].Load()))
 	}
-	for _, n := range sorted(t.gauges) {
+	for _, n := range sortedKeys(t.gauges) {
 		g := t.gauges[n]
 		g.mu.Lock()
 		writeType(out, n, "gauge")
 		writeValue(out, n, g.v)
 		g.mu.Unlock()
 	}
-	for _, n := range sorted(t.histograms) {
+	for _, n := range sortedKeys(t.histograms) {
 		writeHistogram(out, n, t.histograms[n])
 	}
-	// The reader hung up: there is nobody left to tell.
+	// An error means that the client closed the connection.
 	_ = out.Flush()
 }
 
@@ -164,7 +162,7 @@
 	writeValue(out, name+"_count", float64(total))
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for n := range m {
 		out = append(out, n)
