--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,4 +1,4 @@
-// Package logging writes the daemons' JSON lines without waiting for their reader.
+// Package logging writes the daemons' logs as JSON lines without blocking on a slow reader.
 package logging
 
 import (
@@ -12,60 +12,63 @@
 )
 
 const (
-	// logQueue is the number of lines that wait for a slow reader of the log;
-	// further ones are counted and left out.
-	logQueue = 512
-	// linesPerSecond bounds the lines of one message and level: a line costs
-	// about 10 us of a small VM's processor.
+	// queueLength is the maximum number of lines that wait for a slow reader. Further
+	// ones are counted and dropped.
+	queueLength = 512
+	// linesPerSecond is the maximum number of lines per second with the same message
+	// and level. A line costs about 10 us of processor time on a small VM.
 	linesPerSecond = 100
 )
 
-// Logger writes JSON lines without ever waiting for their reader.
+// Logger writes JSON lines without blocking: lines that do not fit its queue are counted
+// and dropped.
 type Logger struct {
 	*zap.Logger
-	lines chan []byte
-	flush chan chan struct{} // each is closed when all lines before it are written
-	lost  atomic.Uint64
-	told  uint64 // of the lost lines
+	lines    chan []byte
+	flush    chan chan struct{} // each channel is closed once all lines before it are written
+	lost     atomic.Uint64
+	reported uint64 // lost lines that ReportLost has logged
 }
 
-// New returns a logger of a VM's daemon for lines at or above a level.
+// New returns a logger for the daemon of a VM that writes lines at or above a level to w.
+// It returns an error for an unknown level.
 func New(w io.Writer, level, vm, dataCenter string) (*Logger, error) {
 	lv, err := zapcore.ParseLevel(level)
 	if err != nil {
-		return nil, errors.Wrap(err, "log level")
+		return nil, errors.Wrap(err, "parse log level")
 	}
-	l := &Logger{lines: make(chan []byte, logQueue), flush: make(chan chan struct{})}
+	l := &Logger{lines: make(chan []byte, queueLength), flush: make(chan chan struct{})}
 	conf := zap.NewProductionEncoderConfig()
 	conf.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(conf), zapcore.AddSync(l), lv)
-	core = zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, 0, zapcore.SamplerHook(l.sampled))
+	core = zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, 0, zapcore.SamplerHook(l.countDropped))
 	l.Logger = zap.New(core).With(zap.String("vm", vm), zap.String("dataCenter", dataCenter))
 	go l.write(w)
 	return l, nil
 }
 
-// Lost returns the number of lines that were left out.
+// Lost returns the number of lines that were dropped.
 func (l *Logger) Lost() uint64 { return l.lost.Load() }
 
-// ReportLost says how many lines were left out since the last call.
+// ReportLost logs the number of lines dropped since the last call, if there were any.
 func (l *Logger) ReportLost() {
 	n := l.lost.Load()
-	if n == l.told {
+	if n == l.reported {
 		return
 	}
-	l.Warn("log lines left out", zap.Uint64("lines", n-l.told), zap.Uint64("total", n))
-	l.told = n
+	l.Warn("log lines left out", zap.Uint64("lines", n-l.reported), zap.Uint64("total", n))
+	l.reported = n
 }
 
-func (l *Logger) sampled(_ zapcore.Entry, d zapcore.SamplingDecision) {
+// countDropped counts the lines that the sampler drops; see linesPerSecond.
+func (l *Logger) countDropped(_ zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped != 0 {
 		l.lost.Add(1)
 	}
 }
 
-// Write implements io.Writer for zap. It never blocks: a line that does not fit
-// the queue is lost and counted.
+// Write implements io.Writer for zap. It never blocks: a line that does not fit the queue is
+// counted and dropped.
 func (l *Logger) Write(b []byte) (int, error) {
 	line := append([]byte(nil), b...)
 	select {
@@ -96,11 +99,11 @@
 	}
 }
 
-// closeTimeout bounds the writing of the last lines.
+// closeTimeout is the maximum time for which Close waits.
 const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is queued, for a moment at most. Lines may still be logged
-// after it, as goroutines end later than the process's work, but need not appear.
+// Close writes the queued lines and waits for at most closeTimeout. Goroutines that end
+// later may still log afterwards, but these lines may be lost.
 func (l *Logger) Close() {
 	done := make(chan struct{})
 	limit := time.After(closeTimeout)
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-// Nobody reads standard output, as its pipe is full. Balancing has to go on: lines
-// are left out and counted, and no call waits.
+// Guards against logging that blocks the balancer when the pipe of standard output is full,
+// because its reader has stopped: lines must be dropped and counted.
 func TestLogNeverBlocks(t *testing.T) {
-	r, w := io.Pipe() // nobody reads: the first write waits for ever
+	r, w := io.Pipe() // without a reader, the first write blocks forever
 	l, err := New(w, "info", "a", "b")
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 		t.Errorf("200000 lines took %v", took)
 	}
 	if l.Lost() == 0 {
-		t.Error("no line was counted as lost")
+		t.Error("no dropped line was counted")
 	}
 	l.Close()
 	l.Info("a goroutine that ends later") // must not panic
