--- a/internal/balance/report.go
+++ b/internal/balance/report.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ReportAhead sets how many more connections than this balancer its peers had
+// SetPeerExcess sets how many more connections than this balancer its peers had
 // at target id, summed over their last reports.
-func (p *Pool) ReportAhead(id uint32, connections int) {
+func (p *Pool) SetPeerExcess(id uint32, connections int) {
 	if s := p.byID[id]; s != nil {
 		s.peerExcess = connections
 	}
--- a/internal/experiment/reports.go
+++ b/internal/experiment/reports.go
@@ -46,7 +46,7 @@
 			for q := range pools {
 				sum += r.diff[h][q][t]
 			}
-			pools[h].ReportAhead(uint32(t+1), sum)
+			pools[h].SetPeerExcess(uint32(t+1), sum)
 		}
 	}
 }
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -83,7 +83,7 @@
 	defer r.mu.Unlock()
 	for id := uint32(1); int(id) < len(v.Targets); id++ {
 		if p := r.pools[v.Targets[id].Service]; p != nil {
-			p.ReportAhead(id, ahead[id])
+			p.SetPeerExcess(id, ahead[id])
 		}
 	}
 }
