--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -193,7 +193,7 @@
 
 // slow does what need not happen at every tick.
 func (l *Loop) slow(ctx context.Context, now time.Duration) {
-	l.router.ReportAhead(l.held.ahead(now, l.names, len(l.reachable())))
+	l.router.SetPeerExcess(l.held.ahead(now, l.names, len(l.reachable())))
 	l.updateReader(ctx)
 	l.checkTargets(ctx, now)
 	l.reportLoads(now)
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -75,9 +75,9 @@
 	return a, ok
 }
 
-// ReportAhead sets, by target identifier, how many more connections than this
+// SetPeerExcess sets, by target identifier, how many more connections than this
 // balancer its peers have. Targets missing from the map count as equal.
-func (r *Router) ReportAhead(ahead map[uint32]int) {
+func (r *Router) SetPeerExcess(ahead map[uint32]int) {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
