--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -26,7 +26,7 @@
 	Budget     Budget
 	slotRate   slotRate
 	turn       uint64 // number of slots taken so far
-	slotsInUse int    // in use, at all targets
+	slotsInUse int    // at all targets
 	delayed    []delayedRelease
 }
 
--- a/internal/balance/slotrate.go
+++ b/internal/balance/slotrate.go
@@ -21,13 +21,13 @@
 // of requests is, by Little's law, slots in use integrated over time divided
 // by the requests that ended; this is right whether or not slots are free, but
 // includes slots that hang at unreachable targets. The rate at which requests
-// end is right while all slots are busy. The higher estimate of the last
+// end is right while all slots are busy. The highest estimate of the last
 // seconds is used.
 //
 // When a data centre is cut off, the requests at its targets hold their slots
 // until it comes back or they are abandoned. For a few seconds hardly any
-// slots become free; a single current estimate would then refuse callers who
-// can still be admitted.
+// slots become free, and an estimate from those seconds alone would refuse
+// callers who can still be admitted.
 type slotRate struct {
 	slotSeconds float64 // slots in use times seconds, decaying
 	ended       float64 // requests that ended, decaying
@@ -63,8 +63,8 @@
 	p.recent++
 }
 
-// rate returns how many slots become free per second when all are busy,
-// or zero while too few requests have ended.
+// rate returns how many slots become free per second when all are busy, or
+// zero while too few requests have ended.
 func (p *slotRate) rate() float64 {
 	if p.ended < minEnded {
 		return 0
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -32,7 +32,7 @@
 	// as a multiple of an average target's work.
 	reported      float64
 	lastReportAt  time.Duration
-	firstReportAt time.Duration // time of the first report
+	firstReportAt time.Duration // first report after a gap of reportWindow
 	excess        float64
 }
 
@@ -47,8 +47,9 @@
 	// maxExcess bounds the excess that a report can add, in multiples of an
 	// average target's work.
 	maxExcess = 1.0
-	// rampFloor is the share of new flows at the start of the slow start, and
-	// rampBurst bounds the credit that an unused share adds up to.
+	// Each new flow of the pool adds to the credit of a target in slow start:
+	// rampBurst equal shares times the elapsed part of the ramp, which counts
+	// as at least rampFloor. The credit is at most rampBurst.
 	rampFloor = 0.1
 	rampBurst = 2
 )
@@ -103,9 +104,8 @@
 	return t.estimatedUse(Connection, homes)+homes <= t.Limit[Connection]
 }
 
-// ramping reports whether slow start excludes the target from the next choice.
-// Each new flow of the pool gives a target in slow start a growing part of an
-// equal share.
+// ramping reports whether slow start excludes the target from the next choice:
+// it has no credit for a whole flow yet.
 func (t *state) ramping(now time.Duration) bool {
 	return t.Ramp > 0 && now-t.rampFrom < t.Ramp && t.credit < 1
 }
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -77,13 +77,13 @@
 
 // SetPeerExcess sets, by target identifier, how many more connections than this
 // balancer its peers have. Targets missing from the map count as equal.
-func (r *Router) SetPeerExcess(ahead map[uint32]int) {
+func (r *Router) SetPeerExcess(excess map[uint32]int) {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := uint32(1); int(id) < len(v.Targets); id++ {
 		if p := r.pools[v.Targets[id].Service]; p != nil {
-			p.SetPeerExcess(id, ahead[id])
+			p.SetPeerExcess(id, excess[id])
 		}
 	}
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// acceptEndsProbe reports whether a SYN-ACK shows which target has the probed
-// flow. The target retransmits it because the probe kept the caller's
-// acknowledgement from it.
+// acceptEndsProbe reports whether a SYN-ACK comes from the target that has the
+// probed flow. That target retransmits it because the caller's acknowledgement
+// was sent to another candidate.
 func (c *call) acceptEndsProbe(e *flow.Entry) bool {
 	p := c.r.probes[e.Key]
 	return e.State == flow.Probing && p != nil && c.seg.Seq+1 == p.ack
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -29,7 +29,7 @@
 	SilentAfter   time.Duration // time of unanswered retransmissions after which a flow is reset
 	DeadAfter     time.Duration // the same if the target answers no other flow either
 	ProbeRate     float64       // probes per second for each service
-	AliveInterval time.Duration // time without a call of Alive after which this node is assumed to be replaced
+	AliveInterval time.Duration // time without a call of Alive after which peers may have replaced this node
 }
 
 // Defaults returns s with defaults in place of zero fields.
@@ -88,18 +88,18 @@
 	}
 }
 
-// pool is the targets of one service, with the number of its openings and the
-// token bucket of its probes.
+// pool is the targets of one service, with the number of its pending openings
+// and the token bucket of its probes.
 type pool struct {
 	*balance.Pool
 	openingCount    int
-	probeTokens     float64 // tokens
+	probeTokens     float64
 	probeRefilledAt time.Duration
 }
 
 // Alive records that the control loop is running. If it was not for
 // AliveInterval, this process may have been paused and replaced by its peers;
-// it then decides on no flow while a peer can.
+// it then leaves decisions on flows to peers, if there are any.
 func (r *Router) Alive(now time.Duration) { r.alive.Store(int64(now)) }
 
 func (r *Router) controlStalled(now time.Duration) bool {
