--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -98,7 +98,7 @@
 
 // A peer that was suspended resumes and reports its old position as fresh. This proves
 // nothing to a replica with a later position.
-func TestConfirmByOneBehind(t *testing.T) {
+func TestConfirmByOutdatedPeer(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(50), time.Second)
 	if r.Confirm(at(40), 3, 0, 9*time.Second) != Current {
@@ -112,7 +112,7 @@
 // A peer has just started and listed the store after a target's registration was removed.
 // It knows no later change, but that proves nothing: the replica has to learn of the
 // removal from a balancer that followed the changes.
-func TestConfirmByOneThatHasJustListed(t *testing.T) {
+func TestConfirmByPeerThatHasJustListed(t *testing.T) {
 	r, fresh := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3), put("b", "1", 4)}, at(5), 0)
 	fresh.Replace([]Item{put("a", "1", 3)}, at(9), time.Second) // b was removed at 8
@@ -127,7 +127,7 @@
 // A key expires and is written again unchanged, while the store answers one balancer only
 // at times and compacts its history. That balancer sees no change, but a peer that
 // started in between lacks the key and has to get it.
-func TestKeyThatLapsedInAGap(t *testing.T) {
+func TestKeyThatExpiredInAGap(t *testing.T) {
 	r, peer := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(5), 0)
 	r.Apply(nil, at(5), 0)
