--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -14,7 +14,7 @@
 	"rosedale.dev/rosedale/internal/metrics"
 )
 
-// AdminPort is where a balancer answers operators, at the VM's data address.
+// AdminPort is the port of a balancer's admin endpoint, at the VM's data address.
 const AdminPort = "9464"
 
 // Paths of the admin endpoint.
@@ -24,7 +24,7 @@
 	ExplainPath = "/explain"
 )
 
-// adminServer serves metrics, status and explanations.
+// adminServer serves metrics, status and explanations of flows.
 type adminServer struct{ srv *http.Server }
 
 func serveAdmin(e *Edge, m *metrics.Collector) (*adminServer, error) {
@@ -53,7 +53,7 @@
 func (s *adminServer) close() { _ = s.srv.Close() }
 
 func (e *Edge) serveExplain(w http.ResponseWriter, r *http.Request) {
-	k, err := flowOf(r)
+	k, err := parseFlow(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -64,7 +64,7 @@
 	e.writeJSON(w, x)
 }
 
-func flowOf(r *http.Request) (direct.FlowKey, error) {
+func parseFlow(r *http.Request) (direct.FlowKey, error) {
 	var k direct.FlowKey
 	for _, f := range []struct {
 		name string
@@ -72,7 +72,7 @@
 	}{{"caller", &k.Caller}, {"address", &k.Address}} {
 		a, err := netip.ParseAddrPort(r.URL.Query().Get(f.name))
 		if err != nil || !a.Addr().Is4() {
-			return k, errors.Errorf("%s: %q is no IPv4 address with a port", f.name, r.URL.Query().Get(f.name))
+			return k, errors.Errorf("%s: %q is not an IPv4 address with a port", f.name, r.URL.Query().Get(f.name))
 		}
 		*f.into = a
 	}
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -11,13 +11,13 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// maxTargetLines is the number of changes at once of which each has a line of
-// its own. More of them are a listing, which has one line for all: its lines
-// would be left out by their bound and hide the others of that second.
+// maxTargetLines is the number of simultaneous changes up to which each gets a log line
+// of its own. More changes come from a listing, which gets a single line: its lines would
+// hit the rate limit of the log and displace the others of that second.
 const maxTargetLines = 50
 
-// apply puts changes of the copy in force: targets and evacuations first, then the catalogue, and the
-// other balancers last, as packets wait for the others only.
+// apply puts changes of the replica into force: targets and evacuations first, then the
+// catalogue, and the other balancers last, as no packet waits for these.
 func (c *control) apply(items []replica.Item, source string) {
 	now := c.now()
 	listing := len(items) > maxTargetLines
@@ -41,9 +41,9 @@
 		}
 	}
 	if c.replica.Loaded() {
-		// Packets of open flows need no catalogue, which takes 80 ms to decode
-		// if it is large and the VM small.
-		c.edge.packets.begin()
+		// Packets of open flows need no catalogue. Decoding a large one takes 80 ms on a
+		// small VM.
+		c.edge.packets.start()
 	}
 	if catalogue != nil {
 		c.applyCatalogue(*catalogue, source)
@@ -56,11 +56,12 @@
 	}
 }
 
-// applyCatalogue puts a version in force.
+// applyCatalogue puts a version of the catalogue into force.
 //
-// Failure: the store comes back from an older copy with the version of that time. It shows
-// as callers who find dropped routes open and added ones closed until the operator has
-// written again. Versions only rise, so that an older one is none of the operator's.
+// Guards against a store that was restored from an older copy and returns the catalogue
+// of that time. Callers would find removed routes open and added ones closed until the
+// operator writes the catalogue again. The operator's versions only increase, so a lower
+// version is ignored.
 func (c *control) applyCatalogue(i replica.Item, source string) {
 	if i.Deleted {
 		c.log.Error("catalogue was removed; the last version stays in force", c.revision(i))
@@ -68,7 +69,7 @@
 	}
 	cat, err := platform.ParseCatalogue(i.Value)
 	if err != nil {
-		c.edge.counts.badItems.Add(1)
+		c.edge.counts.invalidItems.Add(1)
 		c.log.Error("catalogue is not usable; the last version stays in force", c.revision(i), zap.Error(err))
 		return
 	}
@@ -86,21 +87,22 @@
 	c.version = cat.Version
 }
 
-// revision returns an item's revision for the log, with the era of the copy.
+// revision returns the log field for an item's revision, with the era of the replica.
 func (c *control) revision(i replica.Item) zap.Field {
 	return zap.Stringer("revision", c.replica.Position().At(i.Revision))
 }
 
-// applyTarget takes a target's registration or its end; tell has it logged.
-func (c *control) applyTarget(now time.Duration, i replica.Item, source string, tell bool) {
+// applyTarget applies a target's registration or its removal. logged tells whether to log
+// it.
+func (c *control) applyTarget(now time.Duration, i replica.Item, source string, logged bool) {
 	id, err := platform.ParseTargetID(i.Key)
 	if err != nil {
-		c.edge.counts.badItems.Add(1)
+		c.edge.counts.invalidItems.Add(1)
 		c.log.Error("target's key is not usable", zap.String("key", i.Key), c.revision(i), zap.Error(err))
 		return
 	}
 	if i.Deleted {
-		c.removeTarget(now, id, i, source, tell)
+		c.removeTarget(now, id, i, source, logged)
 		return
 	}
 	t, err := platform.ParseTarget(i.Key, i.Value)
@@ -118,16 +120,16 @@
 		c.log.Warn("target's service is not in the catalogue: it gets no flows until it is", zap.Stringer("target", id),
 			c.revision(i), zap.String("service", t.Service), zap.Int64("version", c.version))
 	}
-	if tell {
+	if logged {
 		c.log.Info("target", zap.Stringer("target", id), zap.Stringer("born", t.Born), c.revision(i), zap.String("source", source),
 			zap.String("service", t.Service), zap.Stringer("address", t.Addr), zap.String("at", t.DataCenter),
 			zap.Bool("draining", t.Draining), zap.Duration("cold", t.ColdLeft), zap.Int("lostFlows", len(lost)))
 	}
 }
 
-// disableTarget takes a registration that cannot be used.
+// disableTarget handles an invalid registration of a target.
 func (c *control) disableTarget(id direct.TargetID, i replica.Item, source string, why error) {
-	c.edge.counts.badItems.Add(1)
+	c.edge.counts.invalidItems.Add(1)
 	c.edge.mu.Lock()
 	c.edge.forward.DisableTarget(id)
 	c.edge.mu.Unlock()
--- a/internal/edge/changes.go
+++ b/internal/edge/changes.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// fetchTimeout bounds fetching changes from another balancer.
+	// fetchTimeout bounds a request for changes from another balancer.
 	fetchTimeout = time.Second
-	// dialTimeout bounds connecting to it: one without power does not answer, and an
-	// opening that is lost is repeated by the kernel after a second only.
+	// dialTimeout bounds connecting to another balancer. A VM without power does not
+	// answer, and the kernel retransmits a lost SYN only after a second.
 	dialTimeout = 250 * time.Millisecond
-	// maxChanges bounds an answer in bytes.
+	// maxChanges bounds the size of an answer, in bytes.
 	maxChanges = 16 << 20
-	// askTicks paces questions to other balancers at a start, in ticks.
-	askTicks = 2
-	// askOldTicks paces them while the copy is old: an outage of the store makes
-	// all balancers ask.
-	askOldTicks = 6
-	// oldCopy is the age of the copy from which on they are asked: the first in
-	// rank has taken over reading by then.
-	oldCopy = 1800 * time.Millisecond
-	// seedTick is the tick at which a starting balancer asks its seeds: the store
-	// has answered by then if it can, and asking both costs 2 ms of a processor.
+	// fetchTicks is the interval between requests to other balancers while there is no
+	// replica yet, in ticks.
+	fetchTicks = 2
+	// fetchOldTicks is that interval while the replica is old. It is longer because all
+	// balancers send requests during an outage of the store.
+	fetchOldTicks = 6
+	// fetchAge is the age of the replica from which on changes are requested from other
+	// balancers. By then the first balancer in rank has taken over reading.
+	fetchAge = 1800 * time.Millisecond
+	// seedTick is the tick from which on a starting balancer asks its seeds. By then the
+	// store has answered if it can. Asking both costs 2 ms of CPU time.
 	seedTick = 2
-	// unknownHistory stands for the history of a balancer that has not told it.
+	// unknownHistory stands for the history of a balancer that has not reported it.
 	unknownHistory = math.MaxInt64
 )
 
@@ -49,25 +50,25 @@
 	}
 }
 
-// fetchChanges takes what this balancer lacks from another one, whose copy is of an era
-// and which knows all changes after the revision history.
+// fetchChanges fetches the changes that this balancer lacks from another one. The other's
+// replica is of the given era and knows all changes after the revision history.
 func (c *control) fetchChanges(ctx context.Context, from netip.AddrPort, era, history int64) {
 	if c.fetchBusy {
 		return
 	}
 	c.fetchBusy = true
 	after := c.replica.Position().At(c.replica.After(era, history))
-	asked := c.now()
+	requestedAt := c.now()
 	go func() {
-		ch, err := c.fetchFromPeer(ctx, from, after)
+		ch, err := c.requestChanges(ctx, from, after)
 		c.post(func() {
 			c.fetchBusy = false
-			c.fetched(ch, asked, from, err)
+			c.handleFetched(ch, requestedAt, from, err)
 		})
 	}()
 }
 
-func (c *control) fetchFromPeer(ctx context.Context, from netip.AddrPort, after revision.Revision) (*peer.Changes, error) {
+func (c *control) requestChanges(ctx context.Context, from netip.AddrPort, after revision.Revision) (*peer.Changes, error) {
 	url := "http://" + from.String() + changesPath + "?after=" + strconv.FormatInt(after.Number, 10) + "&era=" + strconv.FormatInt(after.Era, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return ch, peer.Decode(b, ch)
 }
 
-func (c *control) fetched(ch *peer.Changes, asked time.Duration, from netip.AddrPort, err error) {
+func (c *control) handleFetched(ch *peer.Changes, requestedAt time.Duration, from netip.AddrPort, err error) {
 	if err != nil {
 		c.edge.counts.fetchFailures.Add(1)
 		c.log.Warn("changes not fetched", zap.Stringer("peer", from), zap.Error(err))
@@ -98,42 +99,42 @@
 	items, err := peer.Unpack(ch.Packed)
 	if err != nil {
 		c.edge.counts.fetchFailures.Add(1)
-		c.log.Error("changes not usable", zap.Stringer("peer", from), zap.Error(err))
+		c.log.Error("changes could not be unpacked", zap.Stringer("peer", from), zap.Error(err))
 		return
 	}
-	proven := asked - ch.Age
+	proven := requestedAt - ch.Age
 	if ch.Full {
 		c.applyCopy(items, ch.Revision(), proven, from.String())
 		return
 	}
-	c.applyChanges(c.replica.Merge(items, ch.Revision(), proven), from.String(), asked)
+	c.applyChanges(c.replica.Merge(items, ch.Revision(), proven), from.String(), requestedAt)
 }
 
-// fetchIfOld asks other balancers in turn while nothing is known at all, or the
-// copy gets old and this balancer's own reads do not help.
+// fetchIfOld requests changes from other balancers in turn while there is no replica, or
+// while the replica is old and this balancer's own reads fail.
 //
-// Failure: the store turns a balancer away before it could register. It shows as
-// a balancer that no peer knows, hears no heartbeat and keeps its first catalogue
-// for ever. Its seeds and those it knows by an old listing can tell it more.
+// Guards against a store that rejects a balancer before it has registered. As its peers
+// do not know it, it gets no heartbeats and would keep its first catalogue forever. Its
+// seeds and the balancers known from an old listing can still provide updates.
 func (c *control) fetchIfOld(ctx context.Context, now time.Duration) {
-	pause := askTicks
+	pause := fetchTicks
 	if c.replica.Loaded() {
-		pause = askOldTicks
+		pause = fetchOldTicks
 	}
 	if c.ticks < seedTick || c.ticks%pause != 0 {
 		return
 	}
-	if c.replica.Loaded() && (c.replica.Age(now) < oldCopy || c.reader.Succeeding()) {
+	if c.replica.Loaded() && (c.replica.Age(now) < fetchAge || c.reader.Succeeding()) {
 		return
 	}
-	if !c.replica.Loaded() && c.first.HasSources() && !c.first.MayList(now) {
-		return // these know more than the seeds, which may start themselves
+	if !c.replica.Loaded() && c.firstCopy.HasSources() && !c.firstCopy.MayList(now) {
+		return // sources are preferred, as the seeds may be starting too
 	}
 	others := slices.Concat(c.edge.boot.Seeds, c.fleet.Near(), c.fleet.Far())
 	others = slices.DeleteFunc(others, func(a netip.AddrPort) bool { return a == c.edge.boot.Control })
 	if len(others) == 0 {
 		return
 	}
-	c.askTurn++
-	c.fetchChanges(ctx, others[c.askTurn%len(others)], c.replica.Position().Era, unknownHistory)
+	c.fetchTurn++
+	c.fetchChanges(ctx, others[c.fetchTurn%len(others)], c.replica.Position().Era, unknownHistory)
 }
--- a/internal/edge/checks.go
+++ b/internal/edge/checks.go
@@ -9,11 +9,12 @@
 	"rosedale.dev/rosedale/internal/direct"
 )
 
-// lookSoon has suspicious targets checked at once. It is for other goroutines.
-func (c *control) lookSoon() {
+// checkSoon requests a check of suspected targets without waiting for the next tick. It
+// may be called from any goroutine.
+func (c *control) checkSoon() {
 	select {
-	case c.look <- struct{}{}:
-	default: // it is due already
+	case c.checkNow <- struct{}{}:
+	default: // a check is already requested
 	}
 }
 
@@ -26,38 +27,38 @@
 	}
 }
 
-// check asks a suspected target whether it is there.
+// check starts a health check of a suspected target.
 func (c *control) check(ctx context.Context, t direct.Target) {
 	c.edge.counts.checks.Add(1)
-	path, patience := c.edge.healthCheck(t.Service)
+	path, timeout := c.edge.healthCheck(t.Service)
 	go func() {
-		x, err := c.checker.Check(ctx, t, path, patience)
-		c.post(func() { c.checked(t, x, patience, err) })
+		x, err := c.checker.Check(ctx, t, path, timeout)
+		c.post(func() { c.handleCheck(t, x, timeout, err) })
 	}()
 }
 
-func (c *control) checked(t direct.Target, x direct.Finding, patience time.Duration, err error) {
+func (c *control) handleCheck(t direct.Target, x direct.Finding, timeout time.Duration, err error) {
 	now := c.now()
 	c.edge.mu.Lock()
 	v := c.edge.forward.Checked(now, t.Start(), x)
 	due := c.edge.forward.Due()
 	c.edge.mu.Unlock()
 	if due {
-		c.lookSoon()
+		c.checkSoon()
 	}
 	c.resetFlows(now, v.Resets, direct.ResetSilent, t.ID)
 	c.log.Info("target checked", zap.Stringer("target", t.ID), zap.Stringer("born", t.Born), zap.Stringer("address", t.Addr),
-		zap.Stringer("finding", x), zap.Duration("patience", patience), zap.Error(err))
+		zap.Stringer("finding", x), zap.Duration("patience", timeout), zap.Error(err))
 	if x != direct.Alive {
 		c.edge.counts.checksFailed.Add(1)
 	}
 	if v.News {
 		c.alarmDue = true
-		c.alarmIfDue(now)
+		c.sendAlarmIfDue(now)
 	}
 }
 
-// resetFlows ends flows that a target has lost.
+// resetFlows resets flows that a target has lost.
 func (c *control) resetFlows(now time.Duration, flows []direct.Segment, why direct.Reason, id direct.TargetID) {
 	for i := range flows {
 		c.edge.packets.reset(&flows[i])
--- a/internal/edge/complaint_test.go
+++ b/internal/edge/complaint_test.go
@@ -16,8 +16,8 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// get asks a balancer's admin endpoint.
-func (b *running) get(t *testing.T, path string, q url.Values, into any) {
+// get queries a balancer's admin endpoint and decodes the answer.
+func (b *balancer) get(t *testing.T, path string, q url.Values, into any) {
 	t.Helper()
 	u := "http://" + net.JoinHostPort(b.boot.Data.Addr().String(), AdminPort) + path + "?" + q.Encode()
 	resp, err := http.Get(u)
@@ -34,7 +34,7 @@
 	}
 }
 
-func (b *running) explain(t *testing.T, caller, address netip.AddrPort) core.Explanation {
+func (b *balancer) explain(t *testing.T, caller, address netip.AddrPort) core.Explanation {
 	t.Helper()
 	var x core.Explanation
 	b.get(t, ExplainPath, url.Values{"caller": {caller.String()}, "address": {address.String()}}, &x)
@@ -42,7 +42,7 @@
 }
 
 // flowLines returns the log lines of a caller's flow.
-func (b *running) flowLines(t *testing.T, caller netip.AddrPort) []map[string]any {
+func (b *balancer) flowLines(t *testing.T, caller netip.AddrPort) []map[string]any {
 	t.Helper()
 	var out []map[string]any
 	for _, l := range b.lines(t, "flow") {
@@ -53,9 +53,9 @@
 	return out
 }
 
-// A caller says that an opening got no answer. Its target had gone silent; the
-// lines of the flow name the target and its copies, the target's own lines why
-// it is avoided since.
+// A caller reports that its opening got no answer, because its target had become silent.
+// The flow's log lines must name the target and the retransmissions, and the target's own
+// lines the reason why it is avoided.
 func TestComplaintNoAnswer(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -69,7 +69,7 @@
 	caller := netip.AddrPortFrom(address(d.net, callerNet, 1), 1025)
 	lines := b.flowLines(t, caller)
 	if len(lines) != 3 {
-		t.Fatalf("%d lines of the flow, want one a copy: %v", len(lines), lines)
+		t.Fatalf("%d lines of the flow, want one for each copy of the opening: %v", len(lines), lines)
 	}
 	first := lines[0]["target"].(string)
 	for _, key := range []string{"outcome", "target", "load", "version", "age", "copy"} {
@@ -85,12 +85,12 @@
 		found = found || l["target"] == first && l["finding"] == "hung"
 	}
 	if !found {
-		t.Errorf("no check found target %s hung", first)
+		t.Errorf("no check found that target %s hangs", first)
 	}
 }
 
-// A caller says that its flow was reset midway. Its target had crashed; the
-// flow's line names the target, and the target's line the refused check.
+// A caller reports that its flow was reset, because its target had crashed. The flow's
+// log line must name the target, and the target's line the refused check.
 func TestComplaintReset(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -121,8 +121,8 @@
 	})
 }
 
-// A caller says that its answer came late. Its target was slow; the status shows
-// requests under way there and the time since it last answered.
+// A caller reports a late answer, because its target was slow. The status must show the
+// target's in-flight requests and the time since its last answer.
 func TestComplaintLate(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -136,7 +136,7 @@
 		done <- err
 	}()
 	var s Status
-	d.eventually(2*time.Second, "a request is under way", func() bool {
+	d.eventually(2*time.Second, "a request is in flight", func() bool {
 		b.get(t, StatusPath, nil, &s)
 		for _, x := range s.Targets {
 			if x.Busy == 1 && x.Silence > 200*time.Millisecond {
@@ -152,6 +152,6 @@
 		t.Errorf("status %+v", s)
 	}
 	if page := metricsPage(t, b); !strings.Contains(page, "rosedale_answer_seconds_bucket") {
-		t.Error("no histogram of answers")
+		t.Error("the metrics have no histogram of answers")
 	}
 }
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// tickInterval paces heartbeats to balancers near by, checks and expiry.
+	// tickInterval is the interval of heartbeats to nearby balancers, checks and expiry.
 	tickInterval = 100 * time.Millisecond
-	// lossTicks paces the line that says how many others were left out.
-	lossTicks = 10
-	// eventQueue holds what waits for the control goroutine. Heartbeats that
-	// do not fit are dropped, as the next one repeats them.
+	// maintenanceTicks is the interval, in ticks, of the line that reports the number of
+	// omitted log lines, and of other infrequent work.
+	maintenanceTicks = 10
+	// eventQueue is the capacity of the queue of the control goroutine. Heartbeats that
+	// do not fit are dropped, as the next one repeats their content.
 	eventQueue = 256
 )
 
-// control owns all control state. Its methods run on one goroutine, but for
-// those that say otherwise.
+// control owns all control state. Its methods run on one goroutine unless their comments
+// say otherwise.
 type control struct {
 	edge    *Edge
 	log     *logging.Logger
@@ -37,43 +38,44 @@
 	srv     *http.Server
 	fetch   *http.Client
 
-	events chan func()
-	look   chan struct{} // a target has become suspicious
-
-	replica   *replica.Replica
-	packer    peer.Packer
-	firstCtx  context.Context // of all that asks for the first copy
-	stopFirst context.CancelFunc
-	reader    replica.Reader
-	fleet     *peer.Fleet
-	fleetTold int                   // revision of it that the forwarder has; see tellFleet
-	peers     map[string]*neighbour // by name
-	// unregistered are the keys of members without a registration that are heard.
-	unregistered map[string]bool
-	readAt       time.Duration // when the next read of the store is due
-	readBusy     bool
-	era          atomic.Int64 // of the copy
-	settling     replica.Settling
-	readDone     time.Duration
-	fetchBusy    bool
-	askTurn      int           // which balancer to ask next
-	fulls        chan struct{} // holds one for each full copy that is being sent
-	first        *replica.FirstCopy
-	sourcesTold  time.Duration // when this balancer last wrote them; see tellSourcesIfDue
-	version      int64         // of the catalogue in force
-	lease        lease
-	leaving      bool
-	alarmDue     bool          // a suspicion is to be told
-	alarmed      time.Duration // when the last one was
-	outcomesTold time.Duration // see outcomesIfDue
-	ticks        int
-	storeLost    bool
+	events   chan func()
+	checkNow chan struct{} // signalled when a target has become suspected
+
+	replica       *replica.Replica
+	packer        peer.Packer
+	firstCopyCtx  context.Context // context of all requests for the first copy
+	stopFirstCopy context.CancelFunc
+	reader        replica.Reader
+	fleet         *peer.Fleet
+	fleetRevision int                   // revision of the fleet that the forwarder has; see updateFleet
+	peers         map[string]*peerState // by name
+	// unregistered holds the keys of balancers that are heard although their registration
+	// is gone.
+	unregistered   map[string]bool
+	readAt         time.Duration // when the next read of the store is due
+	readBusy       bool
+	era            atomic.Int64 // of the replica
+	settling       replica.Settling
+	readDone       time.Duration
+	fetchBusy      bool
+	fetchTurn      int           // selects the balancer to ask next
+	copySlots      chan struct{} // has an element for each full copy being sent
+	firstCopy      *replica.FirstCopy
+	sourcesWritten time.Duration // when this balancer last wrote the sources; see writeSourcesIfDue
+	version        int64         // of the catalogue in force
+	lease          lease
+	leaving        bool
+	alarmDue       bool          // a new suspicion has to be sent
+	alarmSent      time.Duration // when the last suspicion was sent
+	outcomesSent   time.Duration // see sendOutcomesIfDue
+	ticks          int
+	storeLost      bool
 }
 
-// neighbour is another balancer as its heartbeats show it.
-type neighbour struct {
-	last  peer.Heartbeat
-	heard time.Duration
+// peerState is the state of another balancer according to its heartbeats.
+type peerState struct {
+	last      peer.Heartbeat
+	lastHeard time.Duration
 }
 
 func newControl(e *Edge) (*control, error) {
@@ -82,19 +84,19 @@
 		return nil, errors.Wrapf(err, "control: listen on %s", e.boot.Control)
 	}
 	c := &control{
-		edge:    e,
-		log:     e.log,
-		store:   platform.NewStore(e.boot.Store),
-		checker: platform.NewChecker(),
-		udp:     udp,
-		fetch:   newFetchClient(),
-		events:  make(chan func(), eventQueue),
-		look:    make(chan struct{}, 1),
-		replica: replica.New(platform.Significant),
-		fleet:   peer.NewFleet(e.member()),
-		peers:   map[string]*neighbour{},
-		fulls:   make(chan struct{}, fullCopies(e.member())),
-		first:   replica.NewFirstCopy(e.boot.Control, rand.Float64()),
+		edge:      e,
+		log:       e.log,
+		store:     platform.NewStore(e.boot.Store),
+		checker:   platform.NewChecker(),
+		udp:       udp,
+		fetch:     newFetchClient(),
+		events:    make(chan func(), eventQueue),
+		checkNow:  make(chan struct{}, 1),
+		replica:   replica.New(platform.Significant),
+		fleet:     peer.NewFleet(e.member()),
+		peers:     map[string]*peerState{},
+		copySlots: make(chan struct{}, maxCopies(e.member())),
+		firstCopy: replica.NewFirstCopy(e.boot.Control, rand.Float64()),
 
 		unregistered: map[string]bool{},
 	}
@@ -108,11 +110,11 @@
 
 func (c *control) now() time.Duration { return c.edge.now() }
 
-// post hands f to the control goroutine. It is for other goroutines.
+// post runs f on the control goroutine. It may be called from any goroutine.
 func (c *control) post(f func()) { c.events <- f }
 
-// offer is post for what may be lost.
-func (c *control) offer(f func()) {
+// tryPost is like post, but drops f if the queue is full.
+func (c *control) tryPost(f func()) {
 	select {
 	case c.events <- f:
 	default:
@@ -122,9 +124,9 @@
 
 func (c *control) run(ctx context.Context) {
 	go c.receive()
-	c.firstCtx, c.stopFirst = context.WithCancel(ctx)
-	defer c.stopFirst()
-	go c.lookUpSources(c.firstCtx)
+	c.firstCopyCtx, c.stopFirstCopy = context.WithCancel(ctx)
+	defer c.stopFirstCopy()
+	go c.lookUpSources(c.firstCopyCtx)
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	c.tick(ctx)
@@ -134,7 +136,7 @@
 			return
 		case f := <-c.events:
 			f()
-		case <-c.look:
+		case <-c.checkNow:
 			c.checkSuspects(ctx, c.now())
 		case <-t.C:
 			c.tick(ctx)
@@ -142,14 +144,14 @@
 	}
 }
 
-// tellFleet tells the forwarder which balancers of its data centre there are, once a copy
-// of the store says so.
-func (c *control) tellFleet() {
+// updateFleet passes the balancers of this data centre to the forwarder once there is a
+// replica.
+func (c *control) updateFleet() {
 	revision := c.fleet.Revision()
-	if !c.replica.Loaded() || revision == c.fleetTold {
+	if !c.replica.Loaded() || revision == c.fleetRevision {
 		return
 	}
-	c.fleetTold = revision
+	c.fleetRevision = revision
 	var others []string
 	for _, a := range c.fleet.Near() {
 		others = append(others, a.String())
@@ -168,9 +170,9 @@
 	c.edge.proven.Store(int64(now - age))
 	c.era.Store(c.replica.Position().Era)
 	c.edge.times.age.RecordDuration(age)
-	c.settleIfDue(now)
+	c.applyDeferredIfDue(now)
 	c.lease.renewIfDue(ctx, c, now)
-	c.tellFleet()
+	c.updateFleet()
 	e := c.edge
 	e.mu.Lock()
 	e.forward.SetProven(c.settling.Proven(now, now-age))
@@ -182,17 +184,17 @@
 	}
 	e.forward.SetPeerOutcomes(c.peerOutcomes(now), len(c.fleet.Near())+1)
 	e.forward.Tick(now)
-	grades := e.forward.GradeNews()
+	outlierChanges := e.forward.GradeNews()
 	e.mu.Unlock()
-	c.logGrades(grades)
+	c.logOutliers(outlierChanges)
 	c.checkSuspects(ctx, now)
 	c.yieldIfOutnumbered(now)
-	if c.ticks%lossTicks == 0 {
+	if c.ticks%maintenanceTicks == 0 {
 		c.forgetUnregistered()
-		c.tellSourcesIfDue(ctx, now)
+		c.writeSourcesIfDue(ctx, now)
 		c.log.ReportLost()
 	}
-	c.alarmIfDue(now)
-	c.outcomesIfDue(now)
+	c.sendAlarmIfDue(now)
+	c.sendOutcomesIfDue(now)
 	c.heartbeat(now)
 }
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -8,9 +8,9 @@
 	"rosedale.dev/rosedale/internal/direct"
 )
 
-// logDecision writes a line for a decision that a caller may ask about: where a
-// flow was opened, and why it was reset. Packets of open flows follow from
-// these and are only counted.
+// logDecision logs a decision that may have to be explained to a caller: where a flow was
+// opened, or why it was reset. Packets of open flows follow from these decisions and are
+// only counted.
 func (e *Edge) logDecision(now time.Duration, s *direct.Segment, d direct.Decision, id direct.TargetID) {
 	if d.Verb == direct.Forward && !d.SetCookie {
 		return
@@ -21,16 +21,15 @@
 		zap.Stringer("outcome", d.Reason),
 		zap.Stringer("target", id),
 		zap.Uint32("cookie", uint32(s.Cookie)),
-		zap.Uint32("copy", copyOf(s)),
+		zap.Uint32("copy", retransmissions(s)),
 		zap.Float64("load", d.Load),
 		zap.Int64("version", d.Version),
 		zap.Duration("age", now-time.Duration(e.proven.Load())))
 }
 
-// logGrades writes a line for each target that has begun or ceased to fail
-// requests.
-func (c *control) logGrades(news []direct.GradeNews) {
-	for _, g := range news {
+// logOutliers logs each target that has started or stopped failing requests.
+func (c *control) logOutliers(changes []direct.GradeNews) {
+	for _, g := range changes {
 		outcome := "target answers well again"
 		if g.Failing {
 			outcome = "target fails requests"
@@ -41,28 +40,29 @@
 	}
 }
 
-// copyOf returns how many copies of an opening went before, 0 for others.
-func copyOf(s *direct.Segment) uint32 {
+// retransmissions returns how often an opening packet was sent before, and 0 for other
+// packets.
+func retransmissions(s *direct.Segment) uint32 {
 	if s.Flags.Has(direct.SYN) {
 		return s.Ack
 	}
 	return 0
 }
 
-// becomeReady lets packets in once there is something to decide with.
+// becomeReady reports readiness and starts forwarding once there are a catalogue and
+// targets.
 func (e *Edge) becomeReady() {
-	if e.ready.ok.Load() || e.left.Load() {
+	if e.ready.ok.Load() || e.stopping.Load() {
 		return
 	}
-	e.packets.begin()
-	e.packets.openEarly()
+	e.packets.start()
+	e.packets.handleEarly()
 	e.ready.set(true)
 	e.log.Info("ready", zap.Duration("after", e.now()))
 }
 
-// healthCheck says where the targets of a service are checked, and how long their answer
-// may take.
-func (e *Edge) healthCheck(service string) (path string, patience time.Duration) {
+// healthCheck returns the path and the timeout of health checks of a service's targets.
+func (e *Edge) healthCheck(service string) (path string, timeout time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.forward.HealthPath(service), e.forward.CheckPatience(service)
--- a/internal/edge/early.go
+++ b/internal/edge/early.go
@@ -7,45 +7,46 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// maxEarly bounds the openings that wait for the first catalogue: 0.2 s of what
-// a busy VM gets.
+// maxEarly bounds the openings that wait for the first catalogue. It is what a busy VM
+// receives in 0.2 s.
 const maxEarly = 512
 
-// earlyOpenings are openings that came before the first catalogue.
+// earlyOpenings queues the opening packets that arrive before the first catalogue.
 type earlyOpenings struct {
-	mu     sync.Mutex
-	closed bool
-	kept   [][]byte
+	mu       sync.Mutex
+	closed   bool
+	openings [][]byte
 }
 
-// keep takes an opening unless the catalogue is there.
-func (o *earlyOpenings) keep(packet []byte) bool {
+// add queues an opening packet. It returns false once the catalogue has arrived. Packets
+// beyond maxEarly are dropped.
+func (o *earlyOpenings) add(packet []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return false
 	}
-	if len(o.kept) < maxEarly {
-		o.kept = append(o.kept, append([]byte(nil), packet...))
+	if len(o.openings) < maxEarly {
+		o.openings = append(o.openings, append([]byte(nil), packet...))
 	}
 	return true
 }
 
-// take returns what was kept; nothing is kept any more.
-func (o *earlyOpenings) take() [][]byte {
+// drain returns the queued packets and closes the queue.
+func (o *earlyOpenings) drain() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	out := o.kept
-	o.kept = nil
+	out := o.openings
+	o.openings = nil
 	return out
 }
 
-// openEarly handles the openings that waited for the first catalogue.
-func (p *packets) openEarly() {
+// handleEarly handles the openings that waited for the first catalogue.
+func (p *packets) handleEarly() {
 	buf := make([]byte, platform.MaxDatagram+1)
 	var seg direct.Segment
-	for _, b := range p.early.take() {
+	for _, b := range p.early.drain() {
 		n := copy(buf[platform.PrefixSize:], b)
 		p.handle(buf, n, &seg)
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge is the daemon of a balancer whose targets answer callers
-// themselves. One goroutine forwards packets, one owns all control state; the
-// rest waits for the network and hands what it got to control.
+// Package edge is the daemon of a balancer whose targets answer callers directly. One
+// goroutine forwards packets and one owns all control state. The others wait for the
+// network and pass their results to the control goroutine.
 package edge
 
 import (
@@ -18,43 +18,46 @@
 )
 
 const (
-	// flowBytes is about what a flow costs in the table, with the map's slack.
+	// flowBytes is the approximate memory use of a flow in the table, including the
+	// overhead of the map.
 	flowBytes = 400
-	// flowShare of the memory limit may be taken by flows.
+	// flowShare is the divisor of the memory limit that gives the share for flows.
 	flowShare = 4
-	// stopQuiet ends a planned stop once no packet has come for so long: the
-	// routers have found other balancers by then. A VM gets hundreds a second.
+	// stopQuiet is the time without packets after which a planned stop ends. The routers
+	// use other balancers by then, as a VM receives hundreds of packets per second.
 	stopQuiet = 200 * time.Millisecond
-	// stopLeast is how long the routers take to notice that a balancer is not
-	// ready: two misses, half a second apart, and some room. Longer stops overlap
-	// when a data centre's balancers are restarted 1.2 s apart; with more than
-	// half of them away the routers use all, also those that have ended.
+	// stopLeast is how long the routers take to detect that a balancer is not ready: two
+	// failed probes, half a second apart, and a margin. With a longer minimum, stops
+	// would overlap when a data centre's balancers are restarted 1.2 s apart. If more
+	// than half of them are not ready, the routers use all of them, including those that
+	// have ended.
 	stopLeast = 1100 * time.Millisecond
-	// stopReserve of the grace period is left for ending.
+	// stopReserve is the part of the grace period that is reserved for the exit of the
+	// process.
 	stopReserve = time.Second
 )
 
 // Edge is a running balancer.
 type Edge struct {
 	boot    platform.Boot
-	without direct.MechanismSet // those that are switched off
+	without direct.MechanismSet // feature switches that are off
 	log     *logging.Logger
 	start   time.Time
 
 	mu      sync.Mutex // guards forward
 	forward *direct.Forwarder
 
-	packets *packets
-	control *control
-	ready   *ready
-	times   *times
-	left    atomic.Bool  // a planned stop has begun
-	proven  atomic.Int64 // when the copy of the store was last known to be current
-	counts  counts
+	packets  *packets
+	control  *control
+	ready    *ready
+	times    *times
+	stopping atomic.Bool  // a planned stop has begun
+	proven   atomic.Int64 // when the replica was last known to be current, as time.Duration since start
+	counts   counts
 }
 
-// Run runs a balancer without some mechanisms until ctx ends, and then stops it
-// gracefully.
+// Run runs a balancer, with the given mechanisms switched off, until ctx ends. It then
+// stops the balancer gracefully.
 func Run(ctx context.Context, boot platform.Boot, without direct.MechanismSet, log *logging.Logger) error {
 	e := &Edge{boot: boot, without: without, log: log, start: time.Now()}
 	m := metrics.New()
@@ -95,15 +98,15 @@
 	return nil
 }
 
-// now is the time since the start, on the monotonic clock.
+// now returns the time since the start, on the monotonic clock.
 func (e *Edge) now() time.Duration { return time.Since(e.start) }
 
-// leave ends a planned stop: the routers are told first, and packets are
-// forwarded until they have gone elsewhere.
+// leave performs a planned stop: it informs the routers and keeps forwarding packets
+// until they use other balancers.
 func (e *Edge) leave() {
 	began := e.now()
 	e.log.Info("stopping", zap.Int("flows", e.flows()))
-	e.left.Store(true)
+	e.stopping.Store(true)
 	e.ready.set(false)
 	e.control.leave()
 	last := e.boot.Grace - stopReserve
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A caller's flow moves to another balancer when its own one dies, also to one
-// that has just started and knows no flow at all. The caller must not notice.
+// A caller's flow moves to another balancer when its own one dies, including one that has
+// just started and knows no flows. The caller must not notice.
 func TestFlowsSurviveTheirBalancer(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
@@ -58,12 +58,12 @@
 	}
 	name := strings.TrimPrefix(first, "one by ")
 	if second != "two by "+name || third != "three by "+name {
-		t.Errorf("answers %q, %q, %q are not of one target", first, second, third)
+		t.Errorf("answers %q, %q, %q are not from one target", first, second, third)
 	}
 }
 
-// Rubbish from outside is counted and changes nothing in force.
-func TestRubbishLosesNothing(t *testing.T) {
+// Invalid input is counted and changes nothing that is in force.
+func TestInvalidInputChangesNothing(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
 	b := d.balancers[0]
@@ -101,7 +101,7 @@
 	}
 }
 
-func metricsPage(t *testing.T, b *running) string {
+func metricsPage(t *testing.T, b *balancer) string {
 	t.Helper()
 	resp, err := http.Get("http://" + net.JoinHostPort(b.boot.Data.Addr().String(), AdminPort) + MetricsPath)
 	if err != nil {
@@ -115,8 +115,8 @@
 	return string(page)
 }
 
-// A planned stop: the routers are told at once, packets are forwarded until they
-// have noticed, and the balancer ends within its grace period.
+// On a planned stop the routers are informed at once, packets are forwarded until the
+// routers use other balancers, and the balancer ends within its grace period.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
@@ -134,7 +134,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	b.end(t)
+	b.shutdown(t)
 	if took := time.Since(began); took < stopLeast || took > b.boot.Grace {
 		t.Errorf("stopped after %v", took)
 	}
--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -12,45 +12,46 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// applyCopy takes a whole copy of the store and puts what is new in force.
+// applyCopy replaces the replica by a full copy of the store and puts the changes into
+// force.
 func (c *control) applyCopy(items []replica.Item, position revision.Revision, proven time.Duration, source string) {
 	before, loaded := c.replica.Position(), c.replica.Loaded()
-	known := c.now() - c.replica.Age(c.now())
-	news := c.replica.Replace(items, position, proven)
+	knownAt := c.now() - c.replica.Age(c.now())
+	changes := c.replica.Replace(items, position, proven)
 	newEra := loaded && c.replica.Position().Era != before.Era
 	if newEra {
-		news = c.beginEra(before, known, news, source)
+		changes = c.beginEra(before, knownAt, changes, source)
 	}
-	c.apply(news, source)
+	c.apply(changes, source)
 	if newEra {
 		c.lease.verify(c, c.now())
 	}
-	c.firstCopyIsThere(source)
+	c.endFirstCopy(source)
 }
 
-// beginEra notes that the store has come back from an older copy, and returns the news
-// that count at once; the others are put off until the store has settled.
-func (c *control) beginEra(before revision.Revision, known time.Duration, news []replica.Item, source string) []replica.Item {
+// beginEra starts settling after a restore of the store from an older copy. It returns
+// the changes that apply at once. The others are deferred until the store has settled.
+func (c *control) beginEra(before revision.Revision, knownAt time.Duration, changes []replica.Item, source string) []replica.Item {
 	now := c.now()
-	c.settling.Begin(now, c.settleTime(), known)
+	c.settling.Begin(now, c.settleTime(), knownAt)
 	var out []replica.Item
-	for _, i := range news {
+	for _, i := range changes {
 		if c.knowsNewer(i) {
 			c.settling.Defer(i.Key)
 			continue
 		}
 		out = append(out, i)
 	}
-	c.edge.counts.eras.Add(1)
+	c.edge.counts.erasBegun.Add(1)
 	c.log.Warn("store came back from an older copy", zap.Stringer("before", before), zap.Stringer("position", c.replica.Position()),
-		zap.String("source", source), zap.Duration("age", now-known), zap.Int("changes", len(out)), zap.Int("heldChanges", len(news)-len(out)),
+		zap.String("source", source), zap.Duration("age", now-knownAt), zap.Int("changes", len(out)), zap.Int("heldChanges", len(changes)-len(out)),
 		zap.Duration("settles", c.settling.Left(now)))
 	return out
 }
 
-// knowsNewer reports whether more is known than an item says, or its absence, of a store
-// that has come back from an older copy. This balancer's own registration has to be written
-// again in any case.
+// knowsNewer reports whether this balancer knows a newer state than an item, or an item's
+// absence, in a store that was restored from an older copy. The absence of this
+// balancer's own registration always applies, as it has to be written again.
 func (c *control) knowsNewer(i replica.Item) bool {
 	switch {
 	case i.Key == c.edge.registration():
@@ -69,8 +70,9 @@
 	return c.edge.forward.KnowsNewer(t)
 }
 
-// settleIfDue puts in force what was put off, as the copy has it now.
-func (c *control) settleIfDue(now time.Duration) {
+// applyDeferredIfDue applies the deferred changes, as they are in the replica by then,
+// once the store has settled.
+func (c *control) applyDeferredIfDue(now time.Duration) {
 	keys := c.settling.Settled(now)
 	if len(keys) == 0 {
 		return
@@ -87,15 +89,15 @@
 	c.apply(items, "store")
 }
 
-// settleLike takes from a peer's heartbeat that the store has yet to settle. Only a
-// balancer that has just started needs to be told: others saw the store come back.
-func (c *control) settleLike(now time.Duration, h peer.Heartbeat) {
+// settleFromPeer starts settling if a peer's heartbeat reports it. Only a balancer that
+// has just started needs this, as the others have noticed the restore themselves.
+func (c *control) settleFromPeer(now time.Duration, h peer.Heartbeat) {
 	if now > c.settleTime() || h.Settling <= 0 || h.Era != c.replica.Position().Era || c.settling.Left(now) > 0 {
 		return
 	}
 	left := min(h.Settling, c.settleTime())
 	c.settling.Begin(now, left, 0)
-	c.log.Info("store has yet to settle, by a peer", zap.String("peer", h.From), zap.Int64("era", h.Era), zap.Duration("settles", left))
+	c.log.Info("store is still settling according to a peer", zap.String("peer", h.From), zap.Int64("era", h.Era), zap.Duration("settles", left))
 }
 
 func (c *control) settleTime() time.Duration { return replica.SettleTime(c.edge.boot.Heartbeat) }
--- a/internal/edge/evacuation.go
+++ b/internal/edge/evacuation.go
@@ -9,11 +9,11 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// applyEvacuation takes an operator's request to evacuate a data centre, or its end.
+// applyEvacuation applies an operator's evacuation of a data centre, or its end.
 func (c *control) applyEvacuation(now time.Duration, i replica.Item, source string) {
 	name, err := platform.ParseEvacuation(i.Key)
 	if err != nil {
-		c.edge.counts.badItems.Add(1)
+		c.edge.counts.invalidItems.Add(1)
 		c.log.Error("evacuation is not usable", zap.String("key", i.Key), c.revision(i), zap.Error(err))
 		return
 	}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -13,13 +13,14 @@
 
 const evacuateA = platform.EvacuationPrefix + "a"
 
-// An operator evacuates the data centre that holds all targets. Every balancer knows
-// within a second, also one that the store turns away and one that starts only then;
-// callers are refused at once, and flows that are open go on. Taken back, it serves.
+// An operator evacuates the data centre that holds all targets. Every balancer must know
+// within the time limit, including one that the store rejects and one that starts only
+// then. Callers must be refused at once, and open flows must go on. Once the data centre
+// is taken back it must serve again.
 func TestEvacuationReachesAllBalancers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
-	d.acquainted()
+	d.waitForPeers()
 	fl, err := d.caller.Open(previews, d.balancers[0].boot.Data)
 	if err != nil {
 		t.Fatal(err)
@@ -30,9 +31,9 @@
 	d.balancers[1].link.Refuse(true)
 	d.store.Put(evacuateA, map[string]any{})
 	late := d.start(address(d.net, balancerNet, 3))
-	d.eventually(5*time.Second, "the late one is ready", late.isReady)
+	d.eventually(5*time.Second, "the balancer that starts later is ready", late.isReady)
 	for _, b := range d.balancers {
-		d.eventually(2500*time.Millisecond, "evacuation known", func() bool { return len(b.believes(t).Evacuated) == 1 })
+		d.eventually(2500*time.Millisecond, "evacuation known", func() bool { return len(b.adminStatus(t).Evacuated) == 1 })
 		began := time.Now()
 		if name, err := d.ask(b, previews); err == nil {
 			t.Errorf("%s: %s answered while its data centre is evacuated", b.boot.VM, name)
@@ -46,7 +47,7 @@
 	}
 	d.store.Remove(evacuateA)
 	for _, b := range d.balancers {
-		d.eventually(2500*time.Millisecond, "taken back", func() bool { return len(b.believes(t).Evacuated) == 0 })
+		d.eventually(2500*time.Millisecond, "taken back", func() bool { return len(b.adminStatus(t).Evacuated) == 0 })
 		d.mustAsk(b, previews)
 	}
 	lines := d.balancers[1].lines(t, "data centre evacuated: it gets no new flows, open ones stay")
@@ -55,9 +56,10 @@
 	}
 }
 
-// The key is taken away and put back within one read of the store, in a listing after
-// the store has dropped its history, and while nothing changes: the last word counts.
-func TestLastWordOnAnEvacuation(t *testing.T) {
+// The key is removed and written again within one read of the store, in a listing after
+// the store has compacted its history, and while nothing changes. The last write must
+// count.
+func TestLastWriteOfAnEvacuationCounts(t *testing.T) {
 	t.Parallel()
 	put := func(rev int64) replica.Item { return replica.Item{Key: evacuateA, Value: []byte("{}"), Revision: rev} }
 	gone := func(rev int64) replica.Item { return replica.Item{Key: evacuateA, Revision: rev, Deleted: true} }
@@ -72,16 +74,16 @@
 		"no data centre":  {[]replica.Item{{Key: platform.EvacuationPrefix, Revision: 2}}, 0},
 		"slash in a name": {[]replica.Item{{Key: evacuateA + "/b", Revision: 2}}, 0},
 	} {
-		b := bareControl(t)
+		b := newTestControl(t)
 		b.replica = replica.New(platform.Significant)
 		b.edge.forward = direct.New(direct.Config{DataCenter: "a", FlowMaxAge: time.Minute, MaxFlows: 10})
 		b.edge.packets = &packets{edge: b.edge, loaded: make(chan struct{})}
-		b.replica.Replace([]replica.Item{{Key: platform.TargetPrefix + "i-1", Value: []byte(goodTarget), Revision: 1}}, at(1), 0)
+		b.replica.Replace([]replica.Item{{Key: platform.TargetPrefix + "i-1", Value: []byte(validTarget), Revision: 1}}, at(1), 0)
 		b.apply(b.replica.Apply(c.items, at(9), 0), "test")
 		if got := len(b.edge.forward.Evacuations(0)); got != c.want {
 			t.Errorf("%s: %d evacuations, want %d", name, got, c.want)
 		}
-		listed := b.replica.Replace(nil, at(10), 0) // the history is gone, and so is the key
+		listed := b.replica.Replace(nil, at(10), 0) // the store has compacted its history, and the key is gone
 		b.apply(listed, "test")
 		if got := len(b.edge.forward.Evacuations(0)); got != 0 {
 			t.Errorf("%s: %d evacuations after a listing without the key", name, got)
@@ -89,13 +91,13 @@
 	}
 }
 
-// Opening a flow while nothing can take it must not reach a target.
+// Openings that no target may take must not reach a target.
 func TestRefusedByEvacuation(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
 	b := d.balancers[0]
 	d.store.Put(evacuateA, map[string]any{})
-	d.eventually(2*time.Second, "evacuation known", func() bool { return len(b.believes(t).Evacuated) == 1 })
+	d.eventually(2*time.Second, "evacuation known", func() bool { return len(b.adminStatus(t).Evacuated) == 1 })
 	before := opened(d.targets)
 	for range 5 {
 		if _, err := d.ask(b, previews); err == nil {
@@ -106,7 +108,7 @@
 		t.Errorf("%d openings reached targets", n)
 	}
 	if !strings.Contains(b.out.String(), "reset_evacuated") {
-		t.Error("the log does not say why")
+		t.Error("the log has no reason reset_evacuated")
 	}
 }
 
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -19,31 +19,31 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// deployment is a store, targets, balancers and a caller on loopback.
+// deployment is a store, targets, balancers and a caller on loopback addresses.
 type deployment struct {
 	t         *testing.T
 	store     *direct.Store
 	targets   []*direct.Target
-	balancers []*running
+	balancers []*balancer
 	caller    *direct.Caller
-	net       int // the block of addresses
+	net       int // the number of the address block
 	dataPort  uint16
 }
 
-// targetPort is where all targets listen.
+// targetPort is the port of all targets.
 const targetPort = 8080
 
-// running is a balancer in this process.
-type running struct {
+// balancer is a balancer that runs in this process.
+type balancer struct {
 	boot platform.Boot
-	// link carries the balancer's connections to the store.
+	// link relays the balancer's connections to the store.
 	link *direct.Relay
 	stop context.CancelFunc
 	done chan error
 	out  *output
 }
 
-// output collects a balancer's log.
+// output collects the log of a balancer.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -67,8 +67,8 @@
 	newRoute = netip.MustParseAddrPort("198.18.0.3:8443")
 )
 
-// desired is a desired state as the operator writes it.
-func desired(version int, routes ...netip.AddrPort) map[string]any {
+// desiredState returns a desired state as the operator writes it.
+func desiredState(version int, routes ...netip.AddrPort) map[string]any {
 	services := map[netip.AddrPort]string{previews: "catalogue", scans: "scan-store", newRoute: "catalogue"}
 	var list []map[string]any
 	for _, r := range routes {
@@ -83,14 +83,14 @@
 	}
 }
 
-// block gives each test addresses of its own, also beside another run of the
-// tests.
+// block numbers the address blocks of the tests. The process ID keeps concurrent runs of
+// the tests apart; see address.
 var block struct {
 	sync.Mutex
 	n int
 }
 
-// Roles of a test's addresses.
+// Roles of the addresses of a test.
 const (
 	balancerNet = iota
 	callerNet
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.store.Close)
-	d.store.Put(platform.CatalogueKey, desired(1, previews, scans))
+	d.store.Put(platform.CatalogueKey, desiredState(1, previews, scans))
 	for i := range 4 {
 		d.addTarget(uint64(0xa000000001+i), []string{"catalogue", "scan-store"}[i/2])
 	}
@@ -146,14 +146,14 @@
 }
 
 // start runs a balancer at an address.
-func (d *deployment) start(ip netip.Addr) *running {
+func (d *deployment) start(ip netip.Addr) *balancer {
 	d.t.Helper()
 	link, err := direct.NewRelay(d.store.Addr)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(link.Close)
-	b := &running{link: link, out: &output{}, done: make(chan error, 1)}
+	b := &balancer{link: link, out: &output{}, done: make(chan error, 1)}
 	b.boot = platform.Boot{
 		VM: ip.String(), DataCenter: "a",
 		Data: netip.AddrPortFrom(ip, d.dataPort), Ready: netip.AddrPortFrom(ip, 17001), Control: netip.AddrPortFrom(ip, 17002),
@@ -173,13 +173,13 @@
 		b.done <- Run(ctx, b.boot, 0, log)
 		log.Close()
 	}()
-	d.t.Cleanup(func() { b.end(d.t) })
+	d.t.Cleanup(func() { b.shutdown(d.t) })
 	d.balancers = append(d.balancers, b)
 	return b
 }
 
-// end stops a balancer as SIGTERM does, and waits for it.
-func (b *running) end(t *testing.T) {
+// shutdown stops a balancer as SIGTERM does, and waits for it.
+func (b *balancer) shutdown(t *testing.T) {
 	b.stop()
 	select {
 	case err := <-b.done:
@@ -192,13 +192,13 @@
 	}
 }
 
-func (b *running) isReady() bool { return b.status(b.boot.Ready, platform.ReadyPath) == http.StatusOK }
+func (b *balancer) isReady() bool { return b.probe(b.boot.Ready, platform.ReadyPath) == http.StatusOK }
 
-// registration is the balancer's key in the store.
-func (b *running) registration() string { return platform.MemberPrefix + b.boot.VM }
+// registration returns the balancer's key in the store.
+func (b *balancer) registration() string { return platform.MemberPrefix + b.boot.VM }
 
-// believes returns what the balancer says of itself.
-func (b *running) believes(t *testing.T) Status {
+// adminStatus returns the status from the balancer's admin endpoint.
+func (b *balancer) adminStatus(t *testing.T) Status {
 	t.Helper()
 	resp, err := http.Get("http://" + net.JoinHostPort(b.boot.Data.Addr().String(), AdminPort) + StatusPath)
 	if err != nil {
@@ -212,12 +212,12 @@
 	return s
 }
 
-// acquainted waits until all balancers hear each other.
-func (d *deployment) acquainted() {
+// waitForPeers waits until all balancers hear each other.
+func (d *deployment) waitForPeers() {
 	d.t.Helper()
 	d.eventually(5*time.Second, "all balancers hear each other", func() bool {
 		for _, b := range d.balancers {
-			if len(b.believes(d.t).Peers) != len(d.balancers)-1 {
+			if len(b.adminStatus(d.t).Peers) != len(d.balancers)-1 {
 				return false
 			}
 		}
@@ -225,7 +225,7 @@
 	})
 }
 
-func (b *running) status(a netip.AddrPort, path string) int {
+func (b *balancer) probe(a netip.AddrPort, path string) int {
 	resp, err := http.Get("http://" + a.String() + path)
 	if err != nil {
 		return 0
@@ -246,7 +246,7 @@
 
 // ask opens a flow through a balancer and returns the name of the target that
 // answered.
-func (d *deployment) ask(b *running, to netip.AddrPort) (string, error) {
+func (d *deployment) ask(b *balancer, to netip.AddrPort) (string, error) {
 	fl, err := d.caller.Open(to, b.boot.Data)
 	if err != nil {
 		return "", err
@@ -256,7 +256,7 @@
 	return strings.TrimPrefix(got, "hello by "), err
 }
 
-func (d *deployment) mustAsk(b *running, to netip.AddrPort) string {
+func (d *deployment) mustAsk(b *balancer, to netip.AddrPort) string {
 	d.t.Helper()
 	name, err := d.ask(b, to)
 	if err != nil {
@@ -265,8 +265,8 @@
 	return name
 }
 
-// lines returns the log lines with a message.
-func (b *running) lines(t *testing.T, msg string) []map[string]any {
+// lines returns the log lines with the given message.
+func (b *balancer) lines(t *testing.T, msg string) []map[string]any {
 	t.Helper()
 	var out []map[string]any
 	for _, l := range strings.Split(strings.TrimSpace(b.out.String()), "\n") {
--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -12,60 +12,62 @@
 )
 
 const (
-	// farTicks and wideTicks pace heartbeats to other data centres, and within
-	// a large data centre, in ticks.
+	// farTicks is the interval of heartbeats to other data centres, and wideTicks that
+	// within a large data centre, in ticks.
 	farTicks  = 3
 	wideTicks = 2
-	// alarmPause takes suspicions together: 32 targets that crash at once would
-	// else be 32 datagrams from each balancer to each other.
-	alarmPause = tickInterval / 2
-	// outcomePause takes requests that ended badly together, in large fleets: 24
-	// balancers of a data centre then hear 80 heartbeats a second each at most.
-	outcomePause = 3 * tickInterval
+	// alarmInterval is the minimum interval between alarms. It batches suspicions:
+	// otherwise 32 targets that crash at once would cause 32 datagrams from each balancer
+	// to each other one.
+	alarmInterval = tickInterval / 2
+	// outcomeInterval is the minimum interval between updates about failed requests in
+	// large fleets. With it, each of 24 balancers of a data centre receives at most 80
+	// heartbeats per second.
+	outcomeInterval = 3 * tickInterval
 )
 
-// heartbeat tells others what this balancer knows.
+// heartbeat sends this balancer's heartbeat to the recipients of this tick.
 func (c *control) heartbeat(now time.Duration) {
-	c.tell(now, c.audience())
+	c.sendHeartbeat(now, c.recipients())
 }
 
-// alarmIfDue tells new suspicions at once to all balancers of this data centre, and to
-// those of others that speak for theirs.
+// sendAlarmIfDue sends new suspicions at once to all balancers of this data centre and to
+// the relays of the others.
 //
-// Gain: without it each of 24 balancers of a data centre lost a request on each
-// of its flows to find out for itself; 450 of 3,860 requests were late in the 2 s
-// in which 20 of 150 targets fell silent.
-func (c *control) alarmIfDue(now time.Duration) {
-	if !c.alarmDue || now-c.alarmed < alarmPause || c.edge.without.Has(direct.Alarms) {
+// Without this, each of 24 balancers of a data centre lost a request on each of its flows
+// before it suspected a target itself: 450 of 3,860 requests were late in the 2 s in
+// which 20 of 150 targets fell silent.
+func (c *control) sendAlarmIfDue(now time.Duration) {
+	if !c.alarmDue || now-c.alarmSent < alarmInterval || c.edge.without.Has(direct.Alarms) {
 		return
 	}
-	c.alarmDue, c.alarmed = false, now
-	c.tell(now, slices.Concat(c.fleet.Near(), c.fleet.Speakers()))
+	c.alarmDue, c.alarmSent = false, now
+	c.sendHeartbeat(now, slices.Concat(c.fleet.Near(), c.fleet.Speakers()))
 }
 
-// outcomesIfDue tells the balancers near by of a large data centre how requests
-// to failing targets end. In small fleets every heartbeat does.
+// sendOutcomesIfDue sends the outcomes of requests to failing targets to the other
+// balancers of a large data centre. In small fleets every heartbeat contains them.
 //
-// Failure: a target fails part of its requests. Of 24 balancers each has one
-// request to it in five seconds, and none knows enough.
-func (c *control) outcomesIfDue(now time.Duration) {
-	if c.fleet.Small() || now-c.outcomesTold < outcomePause {
+// Guards against a target that fails part of its requests. If each of 24 balancers sends
+// it one request in five seconds, none of them alone has enough data to detect that.
+func (c *control) sendOutcomesIfDue(now time.Duration) {
+	if c.fleet.Small() || now-c.outcomesSent < outcomeInterval {
 		return
 	}
 	c.edge.mu.Lock()
 	due := c.edge.forward.BadSeen() && len(c.edge.forward.Outcomes(now)) > 0
 	c.edge.mu.Unlock()
 	if due {
-		c.outcomesTold = now
-		c.tell(now, c.fleet.Near())
+		c.outcomesSent = now
+		c.sendHeartbeat(now, c.fleet.Near())
 	}
 }
 
-func (c *control) tell(now time.Duration, to []netip.AddrPort) {
+func (c *control) sendHeartbeat(now time.Duration, to []netip.AddrPort) {
 	if len(to) == 0 {
 		return
 	}
-	b, err := encodeShort(c.state(now))
+	b, err := encodeHeartbeat(c.newHeartbeat(now))
 	if err != nil {
 		c.log.Error("heartbeat", zap.Error(err))
 		return
@@ -78,9 +80,9 @@
 	}
 }
 
-// encodeShort encodes a heartbeat. What does not fit is left out, outcomes first:
-// without them others only place worse.
-func encodeShort(h peer.Heartbeat) ([]byte, error) {
+// encodeHeartbeat encodes a heartbeat. If it is too long it omits the outcomes, without
+// which peers only balance less well.
+func encodeHeartbeat(h peer.Heartbeat) ([]byte, error) {
 	b, err := peer.Encode(h)
 	if err != nil || len(b) <= peer.MaxMessage {
 		return b, err
@@ -89,8 +91,8 @@
 	return peer.Encode(h)
 }
 
-// state returns what a heartbeat says.
-func (c *control) state(now time.Duration) peer.Heartbeat {
+// newHeartbeat returns the heartbeat for the current state.
+func (c *control) newHeartbeat(now time.Duration) peer.Heartbeat {
 	h := peer.Heartbeat{
 		From:       c.edge.boot.VM,
 		DataCenter: c.edge.boot.DataCenter,
@@ -117,8 +119,8 @@
 	return h
 }
 
-// findings returns the targets that failed their last check, and the places among them
-// of those that were found dead. It is to be called with the forwarder locked.
+// findings returns the targets that failed their last check, and the indexes among them
+// of those that were found dead. The caller must hold the forwarder's lock.
 func findings(f *direct.Forwarder) (suspected []uint64, dead []int) {
 	found := f.FoundDead()
 	for i, id := range f.Suspected() {
@@ -133,8 +135,8 @@
 	return suspected, dead
 }
 
-// audience returns who gets a heartbeat in this tick.
-func (c *control) audience() []netip.AddrPort {
+// recipients returns the balancers that get a heartbeat in this tick.
+func (c *control) recipients() []netip.AddrPort {
 	if c.fleet.Small() {
 		if c.ticks%farTicks == 0 {
 			return slices.Concat(c.fleet.Near(), c.fleet.Far())
--- a/internal/edge/heartbeat_test.go
+++ b/internal/edge/heartbeat_test.go
@@ -10,8 +10,8 @@
 	"rosedale.dev/rosedale/internal/peer"
 )
 
-// A heartbeat with all that it may hold is longer than a datagram may be. It must
-// arrive all the same, with what others need most.
+// A heartbeat with the maximum content exceeds the size of a datagram. It must still be
+// sent, with what others need most.
 func TestHeartbeatFitsADatagram(t *testing.T) {
 	loads := map[direct.TargetID]direct.Load{}
 	outcomes := map[direct.TargetID]direct.Outcome{}
@@ -28,7 +28,7 @@
 		h.Suspected = append(h.Suspected, 0xa000000000+uint64(i))
 	}
 	h.Loads, h.Outcomes = peer.Uses(loads), peer.TargetOutcomes(outcomes)
-	b, err := encodeShort(h)
+	b, err := encodeHeartbeat(h)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/items_fuzz_test.go
+++ b/internal/edge/items_fuzz_test.go
@@ -10,15 +10,15 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// goodTarget is the registration of a target as it should be.
-const goodTarget = `{"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1","slots":2,"state":"ready","coldLeftMs":0,"sequence":1}`
+// validTarget is a valid registration of a target.
+const validTarget = `{"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1","slots":2,"state":"ready","coldLeftMs":0,"sequence":1}`
 
-// FuzzItemAmongGoodOnes has another program write anything under a target's or a
-// balancer's key, among entries that are well: these must mean what they mean without it.
+// FuzzItemAmongGoodOnes checks that an arbitrary value under a target's or a balancer's
+// key does not change the meaning of valid entries.
 func FuzzItemAmongGoodOnes(f *testing.F) {
-	// One logger for all inputs: its goroutine ends with the process only.
-	c := bareControl(f)
-	f.Add("servers/i-9", []byte(goodTarget))
+	// All inputs share one logger, as its goroutine only ends with the process.
+	c := newTestControl(f)
+	f.Add("servers/i-9", []byte(validTarget))
 	f.Add("servers/i-9", []byte(`{"service":"s","slots":"many"}`))
 	f.Add("servers/", []byte("x"))
 	f.Add("op/evacuate/b", []byte("{}"))
@@ -28,17 +28,17 @@
 	f.Add("rosedale/vm/x", []byte("\xa1\x01\x61x"))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		if id, err := platform.ParseTargetID(key); err == nil && (id == 1 || id == 2) {
-			t.Skip("the good targets' own entries")
+			t.Skip("an entry of the valid targets")
 		}
 		if name, err := platform.ParseEvacuation(key); err == nil && name == "a" {
-			t.Skip("the good targets' own data centre is evacuated")
+			t.Skip("the data centre of the valid targets is evacuated")
 		}
 		if _, err := platform.ParseTarget(key, value); err == nil {
-			t.Skip("an entry of another target, which may take a cookie")
+			t.Skip("a valid entry of another target, which may use the same cookie")
 		}
 		good := []replica.Item{
-			{Key: "servers/i-1", Value: []byte(goodTarget), Revision: 1},
-			{Key: "servers/i-2", Value: []byte(goodTarget), Revision: 2},
+			{Key: "servers/i-1", Value: []byte(validTarget), Revision: 1},
+			{Key: "servers/i-2", Value: []byte(validTarget), Revision: 2},
 		}
 		without := targetsAfter(c, good)
 		bad := replica.Item{Key: key, Value: value, Revision: 3}
@@ -51,7 +51,7 @@
 	})
 }
 
-// targetsAfter returns what a balancer believes of its targets after some items.
+// targetsAfter returns the state of the valid targets after the items were applied.
 func targetsAfter(c *control, items []replica.Item) map[string]direct.TargetInfo {
 	c.replica = replica.New(func(string, []byte, []byte) bool { return true })
 	c.edge.forward = direct.New(direct.Config{DataCenter: "a", FlowMaxAge: time.Minute, MaxFlows: 10})
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// leaseTime is how long a registration outlives its balancer. Heartbeats
-	// show sooner who is there; a long lease costs few calls.
+	// leaseTime is how long a registration outlives its balancer. Heartbeats detect a
+	// lost balancer sooner, and a long lease needs few store calls.
 	leaseTime = 60 * time.Second
-	// leaseRenewal leaves two tries before a lease runs out.
+	// leaseRenewal is the renewal interval. It leaves two attempts before a lease
+	// expires.
 	leaseRenewal = 20 * time.Second
 	// leaseRetry is the pause after a failed call.
 	leaseRetry = 2 * time.Second
-	// rankPause is the pause between two balancers of a data centre that
-	// register again: 55 of them, twice the calls, within 1.1 s.
-	rankPause = 20 * time.Millisecond
+	// reregisterStep is the delay per rank with which the balancers of a data centre
+	// register again. It spreads the two calls each of 55 balancers over 1.1 s.
+	reregisterStep = 20 * time.Millisecond
 )
 
 // lease keeps this balancer registered in the store.
 type lease struct {
 	id   int64
 	due  time.Duration
-	busy bool // a call is under way
-	lost bool // the registration was taken away meanwhile
+	busy bool // a call is in progress
+	lost bool // the registration was removed during the call
 }
 
 // renewIfDue registers this balancer or renews its lease.
@@ -51,24 +52,24 @@
 	}()
 }
 
-// revoked notes that the store no longer has the registration. The lease may
-// live on without it, so that a new one is due.
+// revoked handles the removal of this balancer's registration from the store. The lease
+// may still be alive, so a new registration with a new lease is due.
 //
-// Failure: an operator's mistake or an outage takes registrations away. It shows
-// as a balancer that hears no heartbeat until its lease is due, 20 s later.
+// Guards against a registration that is removed by an operator's mistake or an outage.
+// Without this, the balancer would get no heartbeats until its lease is due, 20 s later.
 func (l *lease) revoked(c *control, now time.Duration) {
 	c.log.Warn("registration was taken away", zap.Int64("lease", l.id))
 	l.id = 0
 	l.lost = l.busy
-	l.due = now + time.Duration(c.fleet.Rank())*rankPause
+	l.due = now + time.Duration(c.fleet.Rank())*reregisterStep
 }
 
-// verify has this balancer register again if the store, back from an older copy, lacks
-// the registration that its lease is for.
+// verify makes this balancer register again if the store, after a restore from an older
+// copy, lacks the registration for its lease.
 //
-// Failure: the store loses a registration and its lease with what was written last. It
-// shows like one that was taken away, but no change of the store tells of it: the copy may
-// never have had it.
+// The store may lose a registration and its lease together with its last writes. No
+// change reports that if this balancer's replica never contained the registration, and
+// the balancer would get no heartbeats until its lease is due.
 func (l *lease) verify(c *control, now time.Duration) {
 	if l.id == 0 && !l.busy {
 		return
@@ -85,7 +86,7 @@
 	l.due = c.now() + leaseRenewal
 	if err != nil {
 		c.edge.counts.leaseFailures.Add(1)
-		c.log.Warn("not registered", zap.Error(err))
+		c.log.Warn("registration failed", zap.Error(err))
 		l.due = c.now() + leaseRetry
 	}
 	if l.lost {
@@ -95,7 +96,8 @@
 	}
 }
 
-// register runs on a goroutine of its own. It returns the lease in force, or 0.
+// register writes the registration and returns the lease in force, or 0. It runs on its
+// own goroutine.
 func (c *control) register(ctx context.Context, id int64) (int64, error) {
 	if id != 0 {
 		err := c.store.Keep(ctx, id)
@@ -119,18 +121,18 @@
 	return id, nil
 }
 
-// member is how this balancer registers itself.
+// member returns the registration of this balancer.
 func (e *Edge) member() peer.Member {
 	b := e.boot
 	return peer.Member{VM: b.VM, DataCenter: b.DataCenter, Control: b.Control, Wide: b.LinkMbps >= wideLink}
 }
 
-// registration is the key of this balancer's registration.
+// registration returns the key of this balancer's registration.
 func (e *Edge) registration() string { return platform.MemberPrefix + e.boot.VM }
 
-// leave tells the other balancers that this one stops. Its registration stays
-// until the lease ends: most stops are followed by a start, which goes on with
-// it. It is for other goroutines.
+// leave informs the other balancers that this one stops. The registration stays until the
+// lease expires, as most stops are followed by a start that reuses it. It may be called
+// from any goroutine.
 func (c *control) leave() {
 	c.post(func() {
 		c.leaving = true
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// The store takes a registration away while its lease is being renewed: the
-// renewal succeeds, and the key is gone. A new registration must be due at once.
+// The registration is removed from the store while its lease is being renewed: the
+// renewal succeeds, but the key is gone. A new registration must be due at once.
 func TestRegistrationTakenAwayDuringRenewal(t *testing.T) {
-	c := bareControl(t)
+	c := newTestControl(t)
 	c.lease = lease{id: 5, busy: true}
 	c.lease.revoked(c, c.now())
 	c.lease.renewed(c, 5, nil)
 	if c.lease.id != 0 || c.lease.due > c.now() {
-		t.Errorf("lease %d is renewed in %v, want a new registration now", c.lease.id, c.lease.due-c.now())
+		t.Errorf("lease %d is due in %v, want a new registration now", c.lease.id, c.lease.due-c.now())
 	}
 	c.lease.renewed(c, 6, nil)
 	if c.lease.id != 6 || c.lease.due <= c.now() {
@@ -18,23 +18,24 @@
 	}
 }
 
-// The store comes back from a copy that was made before this balancer registered, and the
-// balancer's own copy never had the registration: no change tells that it is gone. The lease
-// still seems good for 20 s, and without a registration no peer sends a heartbeat here.
+// The store is restored from a copy that was made before this balancer registered, and
+// the balancer's replica never contained the registration, so no change reports its
+// removal. The lease would still seem valid for 20 s, and without a registration no peer
+// sends heartbeats.
 func TestLeaseAfterTheStoreCameBack(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		lease      lease
-		registered int64 // lease of the registration in the copy, 0 for none
+		registered int64 // lease of the registration in the replica, 0 for none
 		again      bool
 	}{
 		{"never registered", lease{}, 0, false},
 		{"lost", lease{id: 5}, 0, true},
 		{"of an earlier lease", lease{id: 5}, 4, true},
 		{"kept", lease{id: 5}, 5, false},
-		{"under way", lease{busy: true}, 0, true},
+		{"in progress", lease{busy: true}, 0, true},
 	} {
-		b := bareControl(t)
+		b := newTestControl(t)
 		b.lease = c.lease
 		b.lease.due = b.now() + leaseRenewal
 		if c.registered != 0 {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -22,11 +22,11 @@
 	m.Counter("socket_send_errors", n.sendErrors.Load)
 	m.Counter("heartbeats_sent", n.heartbeatsSent.Load)
 	m.Counter("heartbeats_lost", n.heartbeatsLost.Load)
-	m.Counter("heartbeats_undecodable", n.badHeartbeats.Load)
-	m.Counter("items_unusable", n.badItems.Load)
+	m.Counter("heartbeats_undecodable", n.invalidHeartbeats.Load)
+	m.Counter("items_unusable", n.invalidItems.Load)
 	m.Counter("store_calls", e.control.store.Calls.Load)
 	m.Counter("store_read_failures", n.readFailures.Load)
-	m.Counter("store_eras_begun", n.eras.Load)
+	m.Counter("store_eras_begun", n.erasBegun.Load)
 	m.Counter("listings_outdated", n.listingsOutdated.Load)
 	m.Counter("catalogues_older", n.cataloguesOlder.Load)
 	m.Counter("peer_fetch_failures", n.fetchFailures.Load)
@@ -39,7 +39,8 @@
 	m.Counter("log_lines_lost", e.log.Lost)
 }
 
-// locked returns a reader of what the forwarder counts.
+// locked wraps a function that reads the forwarder's counters so that it holds the
+// forwarder's lock.
 func (e *Edge) locked(read func() uint64) func() uint64 {
 	return func() uint64 {
 		e.mu.Lock()
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -9,20 +9,21 @@
 	"rosedale.dev/rosedale/internal/peer"
 )
 
-// lostAfter is how long a balancer that had not said it would stop must be silent
-// to count as lost: a killed process is back within 0.6 s, and two heartbeats to
-// another data centre may be lost. With 1.5 s 26 and 16 requests were not served.
+// lostAfter is the silence after which a balancer that has not announced a stop counts as
+// lost. A killed process is back within 0.6 s, and two heartbeats to another data centre
+// may be lost. With 1.5 s instead, 26 and 16 requests were not served.
 const lostAfter = 800 * time.Millisecond
 
-// yieldIfOutnumbered tells the routers to use another data centre while this one
-// has lost most of its balancers. It works in fleets in which all hear all.
+// yieldIfOutnumbered makes the routers use another data centre while this one has lost
+// most of its balancers. It only works in small fleets, where every balancer hears every
+// other.
 //
-// Gain: with half of the VMs without power for 4 s, two of a data centre's three
-// among them, 6 and 2 instead of 79 and 73 of 5,433 requests were not served, and the
-// worst 2 s served 0.834 and 0.841 instead of 0.728 and 0.732.
+// With half of the VMs without power for 4 s, among them two of the three of a data
+// centre, 6 and 2 instead of 79 and 73 of 5,433 requests were not served, and the share
+// of requests served in the worst 2 s was 0.834 and 0.841 instead of 0.728 and 0.732.
 func (c *control) yieldIfOutnumbered(now time.Duration) {
 	yield := c.fleet.Small() && !c.edge.without.Has(direct.Yield) && peer.Outnumbered(c.edge.boot.DataCenter, c.presences(now))
-	if c.edge.ready.yields(yield) == yield {
+	if c.edge.ready.setYielding(yield) == yield {
 		return
 	}
 	if yield {
@@ -32,21 +33,22 @@
 	}
 }
 
-// presences returns the registered balancers as this one hears them.
+// presences returns the registered balancers and whether each is alive.
 func (c *control) presences(now time.Duration) []peer.Presence {
 	var out []peer.Presence
 	for _, m := range c.fleet.Members() {
-		out = append(out, peer.Presence{DataCenter: m.DataCenter, Alive: m.VM == c.edge.boot.VM || c.present(now, m.VM)})
+		out = append(out, peer.Presence{DataCenter: m.DataCenter, Alive: m.VM == c.edge.boot.VM || c.isPresent(now, m.VM)})
 	}
 	return out
 }
 
-// present reports whether a balancer was heard, or may still be: this one has just
-// started, or the other stops as planned, and its routers know.
-func (c *control) present(now time.Duration, vm string) bool {
+// isPresent reports whether a balancer counts as alive. This includes one that has
+// announced a planned stop, as its routers know of it, and one that has not been heard
+// yet because this balancer has just started.
+func (c *control) isPresent(now time.Duration, vm string) bool {
 	n := c.peers[vm]
 	if n == nil {
 		return now < lostAfter
 	}
-	return n.last.Leaving || now-n.heard < lostAfter
+	return n.last.Leaving || now-n.lastHeard < lostAfter
 }
--- a/internal/edge/outnumbered_test.go
+++ b/internal/edge/outnumbered_test.go
@@ -7,11 +7,11 @@
 	"rosedale.dev/rosedale/internal/peer"
 )
 
-// Two of a data centre's three balancers fall silent. The third one tells the
-// routers to use another data centre, and is back as soon as one of them is. A
-// planned stop and the first moments after a start count as nobody's loss.
+// Two of the three balancers of a data centre become silent. The third one must make the
+// routers use another data centre, and must be ready again as soon as one of them is
+// back. A planned stop and the time just after a start count as no loss.
 func TestOutnumberedBalancerYields(t *testing.T) {
-	c := bareControl(t)
+	c := newTestControl(t)
 	c.edge.ready.set(true)
 	for vm, dc := range map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"} {
 		c.fleet.Put(vm, peer.Member{VM: vm, DataCenter: dc})
@@ -19,13 +19,13 @@
 	now := time.Duration(0)
 	hear := func(leaving bool, vms ...string) {
 		for _, vm := range vms {
-			c.peers[vm] = &neighbour{heard: now, last: peer.Heartbeat{From: vm, Leaving: leaving}}
+			c.peers[vm] = &peerState{lastHeard: now, last: peer.Heartbeat{From: vm, Leaving: leaving}}
 		}
 	}
 	want := func(what string, ready bool) {
 		t.Helper()
 		c.yieldIfOutnumbered(now)
-		if got := c.edge.ready.now(); got != ready {
+		if got := c.edge.ready.isReady(); got != ready {
 			t.Errorf("%s: ready %v, want %v", what, got, ready)
 		}
 	}
@@ -43,5 +43,5 @@
 	hear(true, "a3")
 	want("one is silent, one stops as planned", true)
 	now += 2 * lostAfter
-	want("nobody is heard", true)
+	want("no other is heard", true)
 }
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -14,24 +14,24 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// receiveBuffer holds the packets of a third of a second at 3,000 a second
-// while the process does not run.
+// receiveBuffer is the size of the socket's receive buffer, in bytes. It holds a third of
+// a second of 3,000 packets per second while the process is not scheduled.
 const receiveBuffer = 2 << 20
 
-// forwardSample is how many packets go by for each whose time is taken, so that
-// reading the clock costs nothing.
+// forwardSample is the number of packets for each one whose latency is measured, so that
+// reading the clock costs little.
 const forwardSample = 16
 
-// packets is the data path's socket.
+// packets is the socket of the data path.
 type packets struct {
-	edge   *Edge
-	conn   *net.UDPConn
-	loaded chan struct{} // closed once targets are known
-	once   sync.Once     // closes loaded
-	early  earlyOpenings
-	last   atomic.Int64 // time of the last packet
+	edge       *Edge
+	conn       *net.UDPConn
+	loaded     chan struct{} // closed once targets are known
+	once       sync.Once     // closes loaded
+	early      earlyOpenings
+	lastPacket atomic.Int64 // arrival of the last packet, as time.Duration since start
 
-	handled atomic.Uint64 // packets so far
+	handled atomic.Uint64 // number of packets received
 }
 
 func listenPackets(e *Edge) (*packets, error) {
@@ -47,17 +47,17 @@
 
 func (p *packets) close() { _ = p.conn.Close() }
 
-func (p *packets) lastAt() time.Duration { return time.Duration(p.last.Load()) }
+func (p *packets) lastAt() time.Duration { return time.Duration(p.lastPacket.Load()) }
 
-// begin lets packets in.
-func (p *packets) begin() { p.once.Do(func() { close(p.loaded) }) }
+// start starts the handling of packets.
+func (p *packets) start() { p.once.Do(func() { close(p.loaded) }) }
 
 // run forwards packets until the socket is closed.
 //
-// Failure: a balancer that has just started gets packets before it knows any
-// target. It would drop what it could forward a moment later. Packets wait in
-// the socket's buffer until targets are known, and openings beside it until the
-// catalogue is.
+// Guards against dropping packets that a starting balancer receives before it knows any
+// target and could forward a moment later. Packets wait in the socket's buffer until
+// targets are known, and opening packets in a separate queue until the catalogue is
+// known.
 func (p *packets) run() {
 	<-p.loaded
 	buf := make([]byte, platform.MaxDatagram+1)
@@ -79,7 +79,7 @@
 func (p *packets) handle(buf []byte, n int, seg *direct.Segment) {
 	e := p.edge
 	now := e.now()
-	p.last.Store(int64(now))
+	p.lastPacket.Store(int64(now))
 	if p.handled.Add(1)%forwardSample == 0 {
 		defer func() { e.times.forward.RecordDuration(e.now() - now) }()
 	}
@@ -90,7 +90,7 @@
 		e.mu.Unlock()
 		return
 	}
-	if seg.Flags.Has(direct.SYN) && p.early.keep(packet) {
+	if seg.Flags.Has(direct.SYN) && p.early.add(packet) {
 		return
 	}
 	e.mu.Lock()
@@ -113,12 +113,12 @@
 		p.reset(seg)
 	}
 	if due {
-		e.control.lookSoon()
+		e.control.checkSoon()
 	}
 	e.logDecision(now, seg, d, id)
 }
 
-// reset ends a flow at its caller.
+// reset sends a reset of a flow to its caller.
 func (p *packets) reset(seg *direct.Segment) {
 	var b [platform.HeadSize]byte
 	platform.Reset(b[:], seg)
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// peerSilent is how long a balancer that sends no heartbeat counts as there.
+	// peerSilent is the silence after which a balancer counts as inactive.
 	peerSilent = time.Second
-	// peerForgotten is how long it is remembered for the log.
-	peerForgotten = time.Minute
-	// loadMemory is how long the loads of a silent balancer count.
-	loadMemory = time.Second
-	// unprovenAge is the age of the copy from which on it is taken from a balancer
-	// that has just listed the store: above the 0.9 s that reads and heartbeats take,
-	// and below the age at which this balancer would read the store itself.
+	// peerRetention is how long a silent balancer is remembered for the log.
+	peerRetention = time.Minute
+	// loadRetention is how long the loads reported by a silent balancer count.
+	loadRetention = time.Second
+	// unprovenAge is the age of the replica from which on changes are also fetched from a
+	// balancer that has just listed the store. It is above the 0.9 s that reads and
+	// heartbeats take, and below the age at which this balancer would read the store
+	// itself.
 	unprovenAge = time.Second
 )
 
@@ -43,38 +44,38 @@
 		}
 		var h peer.Heartbeat
 		if err := peer.Decode(buf[:n], &h); err != nil {
-			c.edge.counts.badHeartbeats.Add(1)
+			c.edge.counts.invalidHeartbeats.Add(1)
 			continue
 		}
-		c.offer(func() { c.heard(context.Background(), h) })
+		c.tryPost(func() { c.handleHeartbeat(context.Background(), h) })
 	}
 }
 
-func (c *control) heard(ctx context.Context, h peer.Heartbeat) {
+func (c *control) handleHeartbeat(ctx context.Context, h peer.Heartbeat) {
 	now := c.now()
 	n := c.peers[h.From]
 	if n != nil && h.Leaving && !n.last.Leaving {
-		c.log.Info("balancer leaves", zap.String("peer", h.From))
+		c.log.Info("balancer is stopping", zap.String("peer", h.From))
 	}
-	if n == nil || now-n.heard > peerSilent {
-		c.log.Info("balancer heard", zap.String("peer", h.From), zap.Stringer("position", h.Revision()), zap.Int64("version", h.Version))
+	if n == nil || now-n.lastHeard > peerSilent {
+		c.log.Info("heartbeat from a new or returned balancer", zap.String("peer", h.From), zap.Stringer("position", h.Revision()), zap.Int64("version", h.Version))
 	}
 	if n == nil {
-		n = &neighbour{}
+		n = &peerState{}
 		c.peers[h.From] = n
 	}
-	n.last, n.heard = h, now
-	c.settleLike(now, h)
-	if c.lacks(now, h) && !c.reader.Succeeding() {
+	n.last, n.lastHeard = h, now
+	c.settleFromPeer(now, h)
+	if c.isBehind(now, h) && !c.reader.Succeeding() {
 		c.fetchChanges(ctx, h.Control, h.Era, h.History)
 	}
-	c.found(now, h)
+	c.applyFindings(now, h)
 }
 
-// lacks takes what a balancer says of its copy, and reports whether this one's had
-// better be brought up to it. One that may lack something takes it from a reader, or
-// from anybody if no reader has confirmed it for a while.
-func (c *control) lacks(now time.Duration, h peer.Heartbeat) bool {
+// isBehind evaluates a peer's report of its replica, and reports whether to fetch changes
+// from the peer. If it is unproven whether this replica lacks changes, it fetches them
+// from a reader, or from any peer if no reader has confirmed this replica for some time.
+func (c *control) isBehind(now time.Duration, h peer.Heartbeat) bool {
 	if h.Position == 0 {
 		return false
 	}
@@ -87,16 +88,16 @@
 	return false
 }
 
-// found takes over findings about targets.
-func (c *control) found(now time.Duration, h peer.Heartbeat) {
+// applyFindings applies a peer's findings about targets.
+func (c *control) applyFindings(now time.Duration, h peer.Heartbeat) {
 	for i, id := range h.Suspected {
 		id := direct.TargetID(id)
 		dead := slices.Contains(h.Dead, i)
 		c.edge.mu.Lock()
-		var news bool
+		var changed bool
 		var lost []direct.Segment
 		if c.edge.forward.SameStart(id, h.Revision()) {
-			news = c.edge.forward.PeerSuspects(now, id)
+			changed = c.edge.forward.PeerSuspects(now, id)
 			if dead {
 				lost = c.edge.forward.PeerFoundDead(now, id)
 			}
@@ -104,42 +105,42 @@
 		due := c.edge.forward.Due()
 		c.edge.mu.Unlock()
 		if due {
-			c.lookSoon()
+			c.checkSoon()
 		}
-		if news || len(lost) > 0 {
+		if changed || len(lost) > 0 {
 			c.log.Info("target suspected by a peer", zap.Stringer("target", id), zap.String("peer", h.From), zap.Bool("dead", dead), zap.Int("lostFlows", len(lost)))
 		}
 		c.resetFlows(now, lost, direct.ResetSilent, id)
 	}
 }
 
-// stays reports whether a balancer is heard and does not stop.
-func (n *neighbour) stays(now time.Duration) bool {
-	return now-n.heard <= peerSilent && !n.last.Leaving
+// isActive reports whether a balancer is heard and is not stopping.
+func (n *peerState) isActive(now time.Duration) bool {
+	return now-n.lastHeard <= peerSilent && !n.last.Leaving
 }
 
-// served reports whether a balancer that comes before this one reads the store. One whose
-// copy is of an earlier era, or that knows no eras as its version is older, proves nothing
-// to this one.
-func (c *control) served(now time.Duration) bool {
+// hasActiveReader reports whether a balancer earlier in the order of readers reads the
+// store. A balancer whose replica is of an earlier era, or whose older version does not
+// support eras, proves nothing to this one and is not counted.
+func (c *control) hasActiveReader(now time.Duration) bool {
 	for name, n := range c.peers {
-		if now-n.heard > peerForgotten {
+		if now-n.lastHeard > peerRetention {
 			delete(c.peers, name)
 			continue
 		}
-		if n.stays(now) && n.last.Reading && n.last.Era >= c.replica.Position().Era && c.fleet.Before(name) {
+		if n.isActive(now) && n.last.Reading && n.last.Era >= c.replica.Position().Era && c.fleet.Before(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// peerLoads sums what the flows of the other balancers hold. It is to be called with
-// the forwarder locked.
+// peerLoads sums the loads of targets by the flows of the other balancers. The caller
+// must hold the forwarder's lock.
 func (c *control) peerLoads(now time.Duration) map[direct.TargetID]direct.Load {
 	out := map[direct.TargetID]direct.Load{}
 	for _, n := range c.peers {
-		if now-n.heard > loadMemory {
+		if now-n.lastHeard > loadRetention {
 			continue
 		}
 		for _, u := range n.last.Loads {
@@ -153,9 +154,9 @@
 	return out
 }
 
-// peerOutcomes sums how the requests of the other balancers of this data centre
-// ended. What a balancer told fades like its own counts. It is to be called with the
-// forwarder locked.
+// peerOutcomes sums the outcomes of requests of the other balancers of this data centre.
+// Reported outcomes decay like this balancer's own counts. The caller must hold the
+// forwarder's lock.
 func (c *control) peerOutcomes(now time.Duration) map[direct.TargetID]direct.Outcome {
 	out := map[direct.TargetID]direct.Outcome{}
 	for _, n := range c.peers {
@@ -167,13 +168,13 @@
 			if !c.edge.forward.SameStart(id, n.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(o.Outcome().Faded(now - n.heard))
+			out[id] = out[id].Plus(o.Outcome().Faded(now - n.lastHeard))
 		}
 	}
 	return out
 }
 
-// applyMember takes another balancer's registration.
+// applyMember applies the registration of another balancer.
 func (c *control) applyMember(i replica.Item) {
 	if i.Deleted {
 		c.removeMember(i.Key)
@@ -182,7 +183,7 @@
 	delete(c.unregistered, i.Key)
 	m, err := peer.DecodeMember(i.Value)
 	if err != nil {
-		c.edge.counts.badItems.Add(1)
+		c.edge.counts.invalidItems.Add(1)
 		c.log.Error("member's registration is not usable: it counts as removed", zap.String("member", i.Key), c.revision(i), zap.Error(err))
 		c.removeMember(i.Key)
 		return
@@ -190,13 +191,13 @@
 	c.fleet.Put(i.Key, m)
 }
 
-// removeMember takes the end of a registration.
+// removeMember handles the removal of a registration.
 //
-// Failure: the store takes away a registration whose balancer lives, and turns
-// that balancer away. It shows as a copy that gets old on it, as nobody sends it
-// heartbeats. Who hears it goes on telling it what is new.
+// Guards against a store that removes the registration of a live balancer and rejects
+// that balancer. Without heartbeats from others its replica would get old. Balancers that
+// still hear it therefore keep sending updates to it.
 func (c *control) removeMember(key string) {
-	if c.hears(key) {
+	if c.isHeard(key) {
 		c.unregistered[key] = true
 		return
 	}
@@ -206,18 +207,16 @@
 	}
 }
 
-// hears reports whether heartbeats of the balancer with a registration's key
-// arrive.
-func (c *control) hears(key string) bool {
+// isHeard reports whether the balancer with the given registration key sends heartbeats.
+func (c *control) isHeard(key string) bool {
 	n := c.peers[strings.TrimPrefix(key, platform.MemberPrefix)]
-	return n != nil && n.stays(c.now())
+	return n != nil && n.isActive(c.now())
 }
 
-// forgetUnregistered ends the membership of balancers that have lost their
-// registration and are no longer heard.
+// forgetUnregistered removes balancers that have lost their registration and are silent.
 func (c *control) forgetUnregistered() {
 	for key := range c.unregistered {
-		if !c.hears(key) {
+		if !c.isHeard(key) {
 			delete(c.unregistered, key)
 			c.fleet.Remove(key)
 		}
--- a/internal/edge/read.go
+++ b/internal/edge/read.go
@@ -12,13 +12,13 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// listing is the outcome of one read of the store.
-type listing struct {
-	full     bool
-	items    []replica.Item
-	position revision.Revision
-	asked    time.Duration // when the read began: the copy is at least so new
-	err      error
+// readResult is the outcome of a read of the store.
+type readResult struct {
+	full      bool
+	items     []replica.Item
+	position  revision.Revision
+	startedAt time.Duration // the result is at least as recent as this
+	err       error
 }
 
 // readIfDue reads the store if this balancer is a reader.
@@ -30,46 +30,47 @@
 	c.readBusy = true
 	position := c.replica.Position()
 	if full {
-		ctx = c.firstCtx
+		ctx = c.firstCopyCtx
 	}
 	go func() {
 		l := c.read(ctx, now, position, full)
-		c.post(func() { c.readEnded(l) })
+		c.post(func() { c.handleRead(l) })
 	}()
 }
 
-// mayRead reports whether this balancer is to read the store now, or to list it for its
-// first copy.
+// mayRead reports whether this balancer should read the store, or list it for its first
+// copy.
 func (c *control) mayRead(now time.Duration) bool {
 	if !c.replica.Loaded() {
-		return c.first.MayList(now)
+		return c.firstCopy.MayList(now)
 	}
-	place := c.first.Place(now, replica.Place{Centre: c.fleet.Centre(), Rank: c.fleet.Rank()})
-	return c.reader.Decide(place, c.replica.Age(now), c.served(now))
+	place := c.firstCopy.Place(now, replica.Place{Centre: c.fleet.Centre(), Rank: c.fleet.Rank()})
+	return c.reader.Decide(place, c.replica.Age(now), c.hasActiveReader(now))
 }
 
-// wideLink is the speed in Mbit/s from which on a large catalogue, 0.4 MB, is
-// read in 30 ms. VMs with such a link read the store for the others.
+// wideLink is the link speed, in Mbit/s, from which on a VM reads the store for others.
+// At this speed a large catalogue, 0.4 MB, takes 30 ms.
 const wideLink = 100
 
-// firstCopyIsThere ends what still asks for the first copy, as there is one now.
+// endFirstCopy cancels the requests for the first copy that are still in progress, once
+// there is one.
 //
-// Failure: after a failure of all, VMs with 10 Mbit/s read a catalogue of 0.4 MB
-// for 0.3 s and more, while openings wait. It shows as late answers long after
-// the VMs are back. What peers pass on is a tenth as long, and the rest of a first
-// listing would only fill the link.
-func (c *control) firstCopyIsThere(source string) {
-	if c.firstCtx.Err() != nil {
-		return // there was one before
+// Guards against slow first listings after a loss of all balancers: VMs with 10 Mbit/s
+// read a catalogue of 0.4 MB for 0.3 s and more while openings wait. Answers would be
+// late long after the VMs are back. A copy from a peer has a tenth of the size, and the
+// rest of a first listing would only occupy the link.
+func (c *control) endFirstCopy(source string) {
+	if c.firstCopyCtx.Err() != nil {
+		return // not the first one
 	}
-	c.stopFirst()
+	c.stopFirstCopy()
 	now := c.now()
 	c.log.Info("first copy", zap.String("source", source), zap.Duration("after", now), zap.Stringer("position", c.replica.Position()), zap.Duration("age", c.replica.Age(now)))
 }
 
-// read runs on a goroutine of its own.
-func (c *control) read(ctx context.Context, now time.Duration, position revision.Revision, full bool) listing {
-	l := listing{asked: now, full: full}
+// read requests changes from the store, or lists it. It runs on its own goroutine.
+func (c *control) read(ctx context.Context, now time.Duration, position revision.Revision, full bool) readResult {
+	l := readResult{startedAt: now, full: full}
 	if !full {
 		l.items, l.position, l.err = c.store.Watch(ctx, position, 0)
 		if !errors.Is(l.err, platform.ErrCompacted) && !errors.Is(l.err, platform.ErrNewEra) {
@@ -81,17 +82,17 @@
 	return l
 }
 
-func (c *control) readEnded(l listing) {
+func (c *control) handleRead(l readResult) {
 	now := c.now()
 	c.readBusy = false
 	if l.full && l.err != nil && c.replica.Loaded() {
-		return // a peer was faster
+		return // a peer has provided a copy in the meantime
 	}
 	if l.err == nil && l.position.Era < c.replica.Position().Era {
-		l.err = errors.Errorf("store: answer of era %d, the copy is of era %d", l.position.Era, c.replica.Position().Era)
+		l.err = errors.Errorf("store: answer is of era %d, but the replica is of era %d", l.position.Era, c.replica.Position().Era)
 	}
-	c.readAt = max(l.asked, now-replica.ReadInterval) + c.reader.Done(l.err == nil)
-	c.dependency(l)
+	c.readAt = max(l.startedAt, now-replica.ReadInterval) + c.reader.Done(l.err == nil)
+	c.logStoreState(l)
 	if l.err != nil {
 		c.edge.counts.readFailures.Add(1)
 		return
@@ -99,14 +100,14 @@
 	c.readDone = now
 	if l.full {
 		c.noteOutdated(l)
-		c.applyCopy(l.items, l.position, l.asked, "store")
+		c.applyCopy(l.items, l.position, l.startedAt, "store")
 		return
 	}
-	c.applyChanges(c.replica.Apply(l.items, l.position, l.asked), "store", l.asked)
+	c.applyChanges(c.replica.Apply(l.items, l.position, l.startedAt), "store", l.startedAt)
 }
 
-// noteOutdated logs a listing that comes too late to change anything.
-func (c *control) noteOutdated(l listing) {
+// noteOutdated logs a listing that arrives too late to change anything.
+func (c *control) noteOutdated(l readResult) {
 	if !c.replica.Outdated(l.position) {
 		return
 	}
@@ -115,17 +116,16 @@
 		zap.Stringer("copy", c.replica.Position()), zap.Int("items", len(l.items)))
 }
 
-// applyChanges puts news in force and measures how long that took since it was
-// asked for.
-func (c *control) applyChanges(items []replica.Item, source string, asked time.Duration) {
+// applyChanges puts changes into force and records the time since they were requested.
+func (c *control) applyChanges(items []replica.Item, source string, requestedAt time.Duration) {
 	c.apply(items, source)
 	if len(items) > 0 {
-		c.edge.times.change.RecordDuration(c.now() - asked)
+		c.edge.times.change.RecordDuration(c.now() - requestedAt)
 	}
 }
 
-// dependency logs when the store is lost and when it is back.
-func (c *control) dependency(l listing) {
+// logStoreState logs when the store becomes unreachable and when it is reachable again.
+func (c *control) logStoreState(l readResult) {
 	if lost := l.err != nil; lost != c.storeLost {
 		c.storeLost = lost
 		if lost {
--- a/internal/edge/ready.go
+++ b/internal/edge/ready.go
@@ -12,11 +12,11 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// ready answers the routers whether this balancer takes packets.
+// ready answers the routers' readiness probes.
 type ready struct {
 	srv *http.Server
 	ok  atomic.Bool
-	// yielding tells that other data centres are to serve; see yieldIfOutnumbered.
+	// yielding tells that other data centres should serve; see yieldIfOutnumbered.
 	yielding atomic.Bool
 }
 
@@ -28,7 +28,7 @@
 	r := &ready{}
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if !r.now() {
+		if !r.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -43,11 +43,11 @@
 
 func (r *ready) set(ok bool) { r.ok.Store(ok) }
 
-// now reports whether the routers are told to send packets here.
-func (r *ready) now() bool { return r.ok.Load() && !r.yielding.Load() }
+// isReady reports whether the routers should send packets to this balancer.
+func (r *ready) isReady() bool { return r.ok.Load() && !r.yielding.Load() }
 
-// yields sets whether other data centres are to serve, and returns whether they
-// were before.
-func (r *ready) yields(on bool) bool { return r.yielding.Swap(on) }
+// setYielding sets whether other data centres should serve, and returns the previous
+// value.
+func (r *ready) setYielding(on bool) bool { return r.yielding.Swap(on) }
 
 func (r *ready) close() { _ = r.srv.Close() }
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -9,8 +9,8 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// holdAt opens flows until one is held by a target.
-func (d *deployment) holdAt(b *running, want *direct.Target) *direct.Flow {
+// openFlowAt opens flows until one is assigned to the given target.
+func (d *deployment) openFlowAt(b *balancer, want *direct.Target) *direct.Flow {
 	d.t.Helper()
 	for range 50 {
 		fl, err := d.caller.Open(previews, b.boot.Data)
@@ -26,17 +26,17 @@
 	return nil
 }
 
-// A caller keeps a flow open and asks now and then. The flow's target crashes and
-// starts again under its identifier before anybody notices. The caller is told while
-// it is idle, so that its next request runs on a new flow instead of being lost.
+// A caller keeps a flow open and sends few requests. The flow's target crashes and
+// restarts under its identifier before this is detected. The idle flow must be reset, so
+// that the next request uses a new flow instead of being lost.
 func TestIdleFlowOfARestartedTarget(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
 	x := d.targets[0]
 	x.Reg.Born = time.Now().UnixMilli()
 	x.Register()
-	fl := d.holdAt(d.balancers[0], x)
-	time.Sleep(2500 * time.Millisecond) // the flow is older than any start that is not known yet
+	fl := d.openFlowAt(d.balancers[0], x)
+	time.Sleep(2500 * time.Millisecond) // the flow is older than any start that is still unknown
 	x.Stop()
 	if err := x.Restart(time.Now().UnixMilli()); err != nil {
 		t.Fatal(err)
@@ -56,9 +56,9 @@
 	}
 }
 
-// A caller opens a flow at a target that has just started again, through a balancer
-// that has not heard of it, as the store is away. When the store is back the flow
-// must go on.
+// A caller opens a flow at a target that has just restarted, through a balancer that does
+// not know of the restart, as the store is unreachable. The flow must go on when the
+// store is reachable again.
 func TestFlowOfANewStartThatIsNotKnownYet(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -70,7 +70,7 @@
 	if err := x.Restart(5000); err != nil {
 		t.Fatal(err)
 	}
-	fl := d.holdAt(b, x)
+	fl := d.openFlowAt(b, x)
 	time.Sleep(2 * time.Second)
 	d.store.FailAll(direct.Healthy)
 	if fl.IsReset(2 * time.Second) {
@@ -80,7 +80,7 @@
 		t.Errorf("request on the flow: %v", err)
 	}
 	d.eventually(time.Second, "the new start is known", func() bool {
-		for _, info := range b.believes(t).Targets {
+		for _, info := range b.adminStatus(t).Targets {
 			if info.ID == "a000000001" {
 				return info.Born != "not told"
 			}
@@ -89,15 +89,15 @@
 	})
 }
 
-// Another program writes what is no registration under a target's key, again and
-// again. New flows go to the other targets, the target's own flow goes on, and the
-// log has one line for each change rather than for each write.
+// Another program repeatedly writes an invalid registration under a target's key. New
+// flows must go to the other targets, the open flow must go on, and the log must have one
+// line for each change instead of each write.
 func TestEntryOfAnotherWriter(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
 	x, other := d.targets[0], d.targets[1]
 	b := d.balancers[0]
-	fl := d.holdAt(b, x)
+	fl := d.openFlowAt(b, x)
 	for i := range 20 {
 		d.store.PutRaw("servers/"+x.Name(), []byte(strings.Repeat(" ", i)+`{"service":"catalogue","slots":"many"}`))
 		d.store.PutRaw("servers/i-", []byte("x"))
@@ -106,7 +106,7 @@
 	for range 10 {
 		for _, b := range d.balancers {
 			if name := d.mustAsk(b, previews); name != other.Name() {
-				t.Errorf("answered by %s, whose entry is unusable", name)
+				t.Errorf("answered by %s, whose entry is invalid", name)
 			}
 		}
 	}
@@ -117,16 +117,16 @@
 		t.Errorf("%d log lines for 20 writes, want 1", n)
 	}
 	if n := len(b.lines(t, "target's key is not usable")); n != 1 {
-		t.Errorf("%d log lines for a key that is none, want 1", n)
+		t.Errorf("%d log lines for an invalid key, want 1", n)
 	}
-	fl.Close() // an idle target goes before one that holds a flow
+	fl.Close() // an idle target is preferred to one with a flow
 	x.Register()
-	d.eventually(2*time.Second, "the mended entry is used", func() bool { return d.mustAsk(b, previews) == x.Name() })
+	d.eventually(2*time.Second, "the repaired entry is used", func() bool { return d.mustAsk(b, previews) == x.Name() })
 }
 
-// A target registers itself for a service that the catalogue does not have yet. It
-// gets callers once a version names the service, without being written again.
-func TestServiceThatComesLater(t *testing.T) {
+// A target registers for a service that is not in the catalogue yet. It must get callers
+// once the catalogue contains the service, without registering again.
+func TestServiceAddedLater(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
 	b := d.balancers[0]
@@ -135,9 +135,9 @@
 		return len(b.lines(t, "target's service is not in the catalogue: it gets no flows until it is")) == 1
 	})
 	if _, err := d.ask(b, newRoute); !errors.Is(err, direct.ErrReset) {
-		t.Errorf("route that is not there: %v, want a reset", err)
+		t.Errorf("missing route: %v, want a reset", err)
 	}
-	state := desired(2, previews, scans, newRoute)
+	state := desiredState(2, previews, scans, newRoute)
 	state["services"] = append(state["services"].([]map[string]any), map[string]any{"name": "later", "healthPath": "/health", "maxConns": 2000})
 	for _, r := range state["routes"].([]map[string]any) {
 		if r["name"] == newRoute.String() {
@@ -151,18 +151,18 @@
 	})
 }
 
-// Entries of other writers lie under the balancers' own keys. They name no balancer,
-// and the others go on hearing each other.
+// Another program writes invalid entries under the balancers' key prefix. They must not
+// count as balancers, and the balancers must continue to hear each other.
 func TestEntryOfAnotherWriterAmongMembers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
-	d.acquainted()
+	d.waitForPeers()
 	b := d.balancers[0]
 	d.store.PutRaw("rosedale/vm/x", []byte("no member"))
-	d.store.PutRaw("rosedale/vm/y", []byte{0xa0}) // an empty map
+	d.store.PutRaw("rosedale/vm/y", []byte{0xa0}) // an empty CBOR map
 	d.eventually(2*time.Second, "the entries are logged", func() bool {
 		return len(b.lines(t, "member's registration is not usable: it counts as removed")) == 2
 	})
-	d.acquainted()
+	d.waitForPeers()
 	d.mustAsk(b, previews)
 }
--- a/internal/edge/servechanges.go
+++ b/internal/edge/servechanges.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// changesPath is where a balancer asks another one for what it lacks.
+	// changesPath is the path at which a balancer serves changes to others.
 	changesPath = "/changes"
-	// fullNarrow and fullWide are how many balancers at once get a full copy over
-	// a narrow and a wide link; the others wait in line, as all of a data centre do
-	// when they start at once. With 3,000 targets it has 57 KB, 0.05 s of a link of 10
-	// Mbit/s: copies that are sent side by side would all arrive last.
-	fullNarrow = 2
-	fullWide   = 16
+	// maxCopiesNarrow and maxCopiesWide are the numbers of full copies that a balancer
+	// sends at once over a slow and over a fast link. Further requests wait, as when all
+	// balancers of a data centre start at once. With 3,000 targets a copy has 57 KB,
+	// which takes 0.05 s at 10 Mbit/s. If all were sent at once, all would arrive late.
+	maxCopiesNarrow = 2
+	maxCopiesWide   = 16
 )
 
-// serve answers other balancers that lag.
+// serve starts the server for balancers that lag behind.
 //
-// Failure: a balancer loses power while it takes a full copy. It shows as a source that
-// hands out no copies for minutes, until the kernel ends the connection. Whoever asked
-// has given up after fetchTimeout, so that nothing is written for longer.
+// Guards against a balancer that loses power while it receives a full copy. Its slot
+// would stay occupied for minutes, until the kernel ends the connection, and this source
+// would hand out no other copies. The client gives up after fetchTimeout, so writes need
+// no longer than that.
 func (c *control) serve() error {
 	ln, err := net.Listen("tcp4", c.edge.boot.Control.String())
 	if err != nil {
@@ -45,26 +46,26 @@
 	return nil
 }
 
-// serveChanges runs on the server's goroutines.
+// serveChanges handles requests for changes. It runs on the server's goroutines.
 func (c *control) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	era, err := eraOf(r)
+	era, err := parseEra(r)
 	if err != nil {
 		http.Error(w, "era: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	if after == 0 {
-		if err := c.takeFull(r.Context()); err != nil {
+		if err := c.acquireCopySlot(r.Context()); err != nil {
 			c.edge.counts.copiesRefused.Add(1)
 			c.log.Info("copy refused", zap.String("to", r.RemoteAddr), zap.String("reason", err.Error()))
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		defer func() { <-c.fulls }()
+		defer func() { <-c.copySlots }()
 		c.edge.counts.copiesSent.Add(1)
 	}
 	answer := make(chan *peer.Changes, 1)
@@ -76,16 +77,16 @@
 	}
 }
 
-// Reasons why a balancer gets no full copy here.
+// Reasons for which a request for a full copy is refused.
 var (
-	errNoCopy   = errors.New("no copy here yet")
-	errCopyLine = errors.New("too many others wait")
+	errNoCopy         = errors.New("no copy here yet")
+	errTooManyWaiting = errors.New("too many others wait")
 )
 
-// takeFull waits until there is a copy here and one more may be sent. It returns an
-// error if that takes too long. It is for other goroutines.
-func (c *control) takeFull(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, copyHold)
+// acquireCopySlot waits until this balancer has a replica and may send another full copy.
+// It returns an error after copyWait. It may be called from any goroutine.
+func (c *control) acquireCopySlot(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, copyWait)
 	defer stop()
 	select {
 	case <-c.edge.packets.loaded:
@@ -93,19 +94,19 @@
 		return errNoCopy
 	}
 	select {
-	case c.fulls <- struct{}{}:
+	case c.copySlots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return errCopyLine
+		return errTooManyWaiting
 	}
 }
 
-// fullCopies returns how many full copies a balancer sends side by side.
-func fullCopies(m peer.Member) int {
+// maxCopies returns the number of full copies that a balancer sends at once.
+func maxCopies(m peer.Member) int {
 	if m.Wide {
-		return fullWide
+		return maxCopiesWide
 	}
-	return fullNarrow
+	return maxCopiesNarrow
 }
 
 func (c *control) writeChanges(w http.ResponseWriter, ch *peer.Changes) {
@@ -115,7 +116,7 @@
 	}
 	b, err := peer.Encode(ch)
 	if err != nil {
-		c.log.Error("control: changes", zap.Error(err))
+		c.log.Error("control: changes not encoded", zap.Error(err))
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -124,19 +125,19 @@
 	}
 }
 
-// anyEra stands for the era of a balancer that does not tell it.
+// anyEra stands for the era of a balancer that does not report one.
 const anyEra = -1
 
-// eraOf returns the era that a balancer's question is of.
-func eraOf(r *http.Request) (int64, error) {
+// parseEra returns the era in a balancer's request.
+func parseEra(r *http.Request) (int64, error) {
 	if !r.URL.Query().Has("era") {
 		return anyEra, nil
 	}
 	return strconv.ParseInt(r.URL.Query().Get("era"), 10, 64)
 }
 
-// changes returns what a balancer lacks whose copy is complete up to a revision of an era:
-// all items if it is another era than here.
+// changes returns the changes after a revision of an era. It returns all items if they
+// are no longer known or the era differs from this replica's.
 func (c *control) changes(after, era int64) *peer.Changes {
 	if !c.replica.Loaded() {
 		return nil
@@ -149,7 +150,7 @@
 	}
 	b, err := c.packer.Pack(ch.Full, items, here.At(c.replica.LastChange()))
 	if err != nil {
-		c.log.Error("control: changes", zap.Error(err))
+		c.log.Error("control: changes not encoded", zap.Error(err))
 		return nil
 	}
 	ch.Packed = b
--- a/internal/edge/settle_test.go
+++ b/internal/edge/settle_test.go
@@ -11,18 +11,19 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// longUnsettled is how long the operator and the targets of these tests take to write
+// rewriteDelay is how long the operator and the targets take in these tests to write
 // again what the store has lost.
-const longUnsettled = 1500 * time.Millisecond
+const rewriteDelay = 1500 * time.Millisecond
 
-// loseSince has the store come back without what was written since a copy, and waits.
-func (d *deployment) loseSince(b direct.Backup) {
+// restoreAndWait restores the store from an older copy and waits while the entries
+// written since are missing.
+func (d *deployment) restoreAndWait(b direct.Backup) {
 	d.t.Helper()
 	d.store.ComeBack(b)
-	time.Sleep(longUnsettled)
+	time.Sleep(rewriteDelay)
 }
 
-// openAt opens a flow at a target of the catalogue service.
+// openAt opens a flow at a target of the service "catalogue".
 func (d *deployment) openAt(x *direct.Target) *direct.Flow {
 	d.t.Helper()
 	for range 100 {
@@ -39,22 +40,22 @@
 	return nil
 }
 
-// A target registers, gets a flow and says that it leaves. The store comes back from a copy
-// that lacks the target, which writes its entry again seconds later. Its flow must go on
-// meanwhile: a target that is missing after it had said that it leaves would else count as
-// gone, and its flows be reset.
+// A target registers, gets a flow and announces that it leaves. The store is restored
+// from a copy that lacks the target, which registers again seconds later. The flow must
+// go on in the meantime. Without settling, a missing target that had announced its leave
+// would count as gone, and its flows would be reset.
 func TestOpenFlowAtTargetThatTheOlderCopyLacks(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
-	d.acquainted()
+	d.waitForPeers()
 	backup := d.store.Backup()
 	x := d.addTarget(0xa000000009, "catalogue")
-	d.eventually(2*time.Second, "the target is known", func() bool { return d.knows(x, "") })
+	d.eventually(2*time.Second, "the target is known", func() bool { return d.allKnow(x, "") })
 	fl := d.openAt(x)
 	x.Drain()
-	d.eventually(2*time.Second, "all know that the target leaves", func() bool { return d.knows(x, "draining") })
-	d.loseSince(backup)
-	x.SetWork(400 * time.Millisecond) // the caller repeats meanwhile
+	d.eventually(2*time.Second, "all know that the target leaves", func() bool { return d.allKnow(x, "draining") })
+	d.restoreAndWait(backup)
+	x.SetWork(400 * time.Millisecond) // longer than the caller's retransmission timeout
 	for i, b := range d.balancers {
 		fl.Via = b.boot.Data
 		if _, err := fl.Ask("b", time.Second); err != nil {
@@ -68,35 +69,37 @@
 	}
 }
 
-// knows reports whether all balancers know a target and that it is in a state, or any.
-func (d *deployment) knows(x *direct.Target, state string) bool {
+// allKnow reports whether all balancers know a target in the given state, or in any state
+// if it is empty.
+func (d *deployment) allKnow(x *direct.Target, state string) bool {
 	id := forward.TargetID(x.ID).String()
 	for _, b := range d.balancers {
-		if !slices.ContainsFunc(b.believes(d.t).Targets, func(i forward.TargetInfo) bool { return i.ID == id && (state == "" || i.State == state) }) {
+		if !slices.ContainsFunc(b.adminStatus(d.t).Targets, func(i forward.TargetInfo) bool { return i.ID == id && (state == "" || i.State == state) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// The store comes back with the catalogue and the list of targets of some seconds ago, and
-// the operator and a target that leaves write again only later. Until then routes that were
-// dropped must stay so, those that were added stay open, and the target gets no flows.
-func TestOlderCopyTakesNothingBack(t *testing.T) {
+// The store is restored with an old catalogue and list of targets, and the operator and a
+// leaving target write again only later. Until then removed routes must stay removed,
+// added ones must stay open, and the target must get no flows.
+func TestRestoredStoreUndoesNothing(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
-	d.acquainted()
+	d.waitForPeers()
 	backup := d.store.Backup()
 	leaving := d.targets[0]
 	leaving.Drain()
-	d.store.Put(platform.CatalogueKey, desired(4, previews, newRoute))
-	time.Sleep(longUnsettled)
-	d.loseSince(backup)
-	d.inForce(leaving)
+	d.store.Put(platform.CatalogueKey, desiredState(4, previews, newRoute))
+	time.Sleep(rewriteDelay)
+	d.restoreAndWait(backup)
+	d.checkInForce(leaving)
 }
 
-// Two balancers register, and the store comes back from a copy that was made before. Nobody
-// writes their registrations again but themselves; without them they hear no heartbeats.
+// Two balancers register, and the store is restored from a copy made before. Only the
+// balancers themselves can write their registrations again, and without these they get no
+// heartbeats.
 func TestRegistrationsThatTheOlderCopyLacks(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -106,22 +109,22 @@
 		d.start(d.balancers[len(d.balancers)-1].boot.Data.Addr().Next())
 	}
 	d.eventually(5*time.Second, "all are registered", func() bool { return len(d.store.Keys(platform.MemberPrefix)) == 3 })
-	d.acquainted()
+	d.waitForPeers()
 	d.store.ComeBack(backup)
 	d.eventually(3*time.Second, "all are registered again", func() bool { return len(d.store.Keys(platform.MemberPrefix)) == 3 })
 }
 
-// The store comes back and has lost a target that crashed meanwhile. Once it has settled,
-// the target counts as gone.
+// The restored store lacks a target that has crashed in the meantime. Once the store has
+// settled, the target must count as gone.
 func TestTargetThatStaysMissingIsGone(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
 	backup := d.store.Backup()
 	x := d.addTarget(0xa000000009, "catalogue")
-	d.eventually(2*time.Second, "the target is known", func() bool { return d.knows(x, "") })
+	d.eventually(2*time.Second, "the target is known", func() bool { return d.allKnow(x, "") })
 	d.store.ComeBack(backup)
 	b := d.balancers[0]
-	d.eventually(2*time.Second, "the store's return is logged", func() bool { return len(b.lines(t, "store came back from an older copy")) > 0 })
+	d.eventually(2*time.Second, "the restore is logged", func() bool { return len(b.lines(t, "store came back from an older copy")) > 0 })
 	if len(b.lines(t, "target gone")) > 0 {
 		t.Error("a missing target counted as gone at once")
 	}
--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// copyHold is how long a source that starts itself keeps those waiting that ask
-	// for its copy: about what it takes to list the store.
-	copyHold = 300 * time.Millisecond
-	// sourcesPause is the least time between two writes of the sources, and before the
-	// first one: those that start together have registered by then.
-	sourcesPause = 5 * time.Second
+	// copyWait is how long a starting source delays requests for its copy: about the time
+	// that listing the store takes.
+	copyWait = 300 * time.Millisecond
+	// sourcesInterval is the minimum interval between two writes of the sources, and the
+	// delay of the first one. Balancers that start together have registered by then.
+	sourcesInterval = 5 * time.Second
 )
 
-// lookUpSources asks the store who hands out copies in this data centre, and has the
-// first copy taken from there or from the store. It runs on a goroutine of its own.
+// lookUpSources reads the bootstrap sources of this data centre from the store, and
+// starts getting the first copy from them or from the store. It runs on its own
+// goroutine.
 func (c *control) lookUpSources(ctx context.Context) {
 	var s peer.Sources
 	var err error
@@ -33,16 +34,16 @@
 	}
 	c.post(func() {
 		if c.replica.Loaded() {
-			return // seeds were faster than the store
+			return // a seed has answered before the store
 		}
 		now := c.now()
 		if err != nil {
-			c.log.Info("no sources for the first copy", zap.Bool("bootstrap", c.edge.boot.Bootstrap), zap.String("reason", err.Error()))
+			c.log.Info("no bootstrap sources for the first copy", zap.Bool("bootstrap", c.edge.boot.Bootstrap), zap.String("reason", err.Error()))
 		}
 		if err != nil && c.edge.boot.Bootstrap {
-			c.first.Bootstrap(now, c.edge.boot.Seeds)
+			c.firstCopy.Bootstrap(now, c.edge.boot.Seeds)
 		} else {
-			c.first.SetSources(now, s.Balancers, s.Size)
+			c.firstCopy.SetSources(now, s.Balancers, s.Size)
 		}
 		c.readIfDue(ctx, now)
 		c.askSources(ctx)
@@ -57,43 +58,43 @@
 	return peer.DecodeSources(b)
 }
 
-// askSources asks one source after the other for its copy until there is one here.
+// askSources requests a copy from one source after the other until there is a replica.
 func (c *control) askSources(ctx context.Context) {
-	if c.replica.Loaded() || !c.first.HasSources() || ctx.Err() != nil {
+	if c.replica.Loaded() || !c.firstCopy.HasSources() || ctx.Err() != nil {
 		return
 	}
 	c.askSource(ctx)
-	time.AfterFunc(c.first.Pause(), func() { c.post(func() { c.askSources(ctx) }) })
+	time.AfterFunc(c.firstCopy.Pause(), func() { c.post(func() { c.askSources(ctx) }) })
 }
 
-// askSource asks the next source, if one is to be asked.
+// askSource requests a copy from the next source, if any.
 func (c *control) askSource(ctx context.Context) {
-	from, ok := c.first.NextSource()
+	from, ok := c.firstCopy.NextSource()
 	if !ok {
 		return
 	}
-	asked := c.now()
+	requestedAt := c.now()
 	go func() {
-		ch, err := c.fetchFromPeer(ctx, from, revision.Revision{})
-		c.post(func() { c.sourceAnswered(ctx, ch, asked, from, err) })
+		ch, err := c.requestChanges(ctx, from, revision.Revision{})
+		c.post(func() { c.handleSourceAnswer(ctx, ch, requestedAt, from, err) })
 	}()
 }
 
-// sourceAnswered takes a source's answer. If that is no copy, another one is asked.
-func (c *control) sourceAnswered(ctx context.Context, ch *peer.Changes, asked time.Duration, from netip.AddrPort, err error) {
+// handleSourceAnswer applies a source's answer. If it failed, another source is asked.
+func (c *control) handleSourceAnswer(ctx context.Context, ch *peer.Changes, requestedAt time.Duration, from netip.AddrPort, err error) {
 	if c.replica.Loaded() {
-		return // another one was faster
+		return // another source has answered before
 	}
-	c.fetched(ch, asked, from, err)
-	if !c.replica.Loaded() && c.first.Failed() {
+	c.handleFetched(ch, requestedAt, from, err)
+	if !c.replica.Loaded() && c.firstCopy.Failed() {
 		c.askSource(ctx)
 	}
 }
 
-// tellSourcesIfDue writes this data centre's sources into the store if they have changed.
-// The first one in rank does so.
-func (c *control) tellSourcesIfDue(ctx context.Context, now time.Duration) {
-	if !c.replica.Loaded() || c.leaving || c.fleet.Rank() != 0 || now-c.sourcesTold < sourcesPause {
+// writeSourcesIfDue writes this data centre's bootstrap sources into the store if they
+// have changed. Only the first balancer in rank does so.
+func (c *control) writeSourcesIfDue(ctx context.Context, now time.Duration) {
+	if !c.replica.Loaded() || c.leaving || c.fleet.Rank() != 0 || now-c.sourcesWritten < sourcesInterval {
 		return
 	}
 	want := c.fleet.Sources()
@@ -103,13 +104,13 @@
 			return
 		}
 	}
-	c.sourcesTold = now
+	c.sourcesWritten = now
 	go func() {
 		if err := c.writeSources(ctx, key, want); err != nil {
-			c.log.Warn("sources not told", zap.Int("size", want.Size), zap.Error(err))
+			c.log.Warn("bootstrap sources not written", zap.Int("size", want.Size), zap.Error(err))
 			return
 		}
-		c.log.Info("sources told", zap.Int("size", want.Size), zap.Stringers("balancers", want.Balancers))
+		c.log.Info("bootstrap sources written", zap.Int("size", want.Size), zap.Stringers("balancers", want.Balancers))
 	}()
 }
 
--- a/internal/edge/sources_test.go
+++ b/internal/edge/sources_test.go
@@ -15,8 +15,9 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// tellSources writes the sources as the first balancer in rank does after a while.
-func (d *deployment) tellSources(size int, sources ...*running) {
+// writeSources writes the bootstrap sources, as the first balancer in rank does after
+// some time.
+func (d *deployment) writeSources(size int, sources ...*balancer) {
 	d.t.Helper()
 	s := peer.Sources{Size: size}
 	for _, b := range sources {
@@ -29,13 +30,13 @@
 	d.store.PutRaw(platform.SourcesPrefix+"a", v)
 }
 
-// All VMs of a data centre start at once, and listings of the store take as long as all of
-// them together. One that starts with sources there gets by without a listing: it is ready,
-// serves and is registered.
+// When all VMs of a data centre start at once, the listings of the store take as long as
+// all of them together. A balancer that starts while there are bootstrap sources must not
+// need a listing to be ready, to serve and to register.
 func TestSourcesHandOutFirstCopies(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
-	d.tellSources(3, d.balancers...)
+	d.writeSources(3, d.balancers...)
 	d.store.RefuseListings(true)
 	b := d.start(address(d.net, balancerNet, 10))
 	d.eventually(3*time.Second, "the new balancer is ready", b.isReady)
@@ -43,29 +44,29 @@
 	d.eventually(3*time.Second, "the new balancer is registered", func() bool { return len(d.store.Keys(b.registration())) == 1 })
 	lines := b.lines(t, "first copy")
 	if len(lines) != 1 || lines[0]["source"] == "store" {
-		t.Errorf("the log says of the first copy: %v", lines)
+		t.Errorf("log lines of the first copy: %v", lines)
 	}
 }
 
-// The sources that the store tells are gone. A VM that starts must list the store itself
-// after a moment.
+// All bootstrap sources in the store are gone. A VM that starts must list the store
+// itself after a moment.
 func TestStartsWithoutItsSources(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
-	gone := &running{}
+	gone := &balancer{}
 	gone.boot.Control = d.balancers[0].boot.Control
-	d.balancers[0].end(t)
-	d.tellSources(3, gone)
+	d.balancers[0].shutdown(t)
+	d.writeSources(3, gone)
 	b := d.start(address(d.net, balancerNet, 10))
 	d.eventually(3*time.Second, "the new balancer is ready", b.isReady)
 	d.mustAsk(b, previews)
 	if d.store.Listings() == 0 {
-		t.Error("nobody listed the store")
+		t.Error("the store was not listed")
 	}
 }
 
-// A source starts itself and cannot reach the store. Whoever asks it for a copy must not
-// wait for long, as the next source may have one.
+// A source is starting and cannot reach the store. It must refuse requests for its copy
+// soon, as the next source may have one.
 func TestSourceWithoutACopyRefusesSoon(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 0)
@@ -85,7 +86,7 @@
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	if took := time.Since(began); resp.StatusCode != http.StatusServiceUnavailable || took < copyHold || took > 3*copyHold {
+	if took := time.Since(began); resp.StatusCode != http.StatusServiceUnavailable || took < copyWait || took > 3*copyWait {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
 	d.eventually(3*time.Second, "the refusal is counted", func() bool {
@@ -96,15 +97,15 @@
 	}
 }
 
-// The first balancer in rank writes the sources once those that started with it have
-// registered, and nobody writes them again while they stay the same.
-func TestSourcesAreTold(t *testing.T) {
+// The first balancer in rank writes the bootstrap sources once the balancers that started
+// with it have registered. They are not written again while they stay the same.
+func TestSourcesAreWritten(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
 	read := func() (peer.Sources, error) {
 		return peer.DecodeSources(d.store.Value(platform.SourcesPrefix + "a"))
 	}
-	d.eventually(sourcesPause+3*time.Second, "sources are told", func() bool {
+	d.eventually(sourcesInterval+3*time.Second, "sources are written", func() bool {
 		s, err := read()
 		return err == nil && s.Size == 3
 	})
@@ -118,8 +119,8 @@
 	}
 }
 
-// A balancer asks a peer twice on one connection, more than a second apart. The time limit
-// of the first answer must not end the second one.
+// A balancer sends a peer two requests on one connection, more than a second apart. The
+// time limit of the first answer must not end the second one.
 func TestAnswersOnAKeptConnection(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -8,7 +8,7 @@
 	"rosedale.dev/rosedale/internal/direct"
 )
 
-// Status is what a balancer believes, for operators.
+// Status is the state of a balancer as shown to operators.
 type Status struct {
 	VM         string                  `json:"vm"`
 	DataCenter string                  `json:"data_center"`
@@ -17,9 +17,9 @@
 	Leaving    bool                    `json:"leaving"`
 	Version    int64                   `json:"version"`  // of the catalogue in force
 	Era        int64                   `json:"era"`      // of the store, for the position
-	Position   int64                   `json:"position"` // of the copy of the store
-	Settling   time.Duration           `json:"settling"` // for how long the store, back from an older copy, may lack something
-	Age        time.Duration           `json:"age"`      // of that copy at most
+	Position   int64                   `json:"position"` // of the replica
+	Settling   time.Duration           `json:"settling"` // remaining settling time after a restore of the store
+	Age        time.Duration           `json:"age"`      // upper bound of the replica's age
 	Reading    bool                    `json:"reading"`  // this balancer reads the store
 	StoreLost  bool                    `json:"store_lost"`
 	Flows      int                     `json:"flows"`
@@ -28,18 +28,18 @@
 	Targets    []direct.TargetInfo     `json:"targets"`
 }
 
-// Peer is another balancer as this one hears it.
+// Peer is another balancer as seen by this one.
 type Peer struct {
 	VM         string        `json:"vm"`
 	DataCenter string        `json:"data_center"`
-	Heard      time.Duration `json:"heard"` // how long ago
+	Heard      time.Duration `json:"heard"` // time since the last heartbeat
 	Version    int64         `json:"version"`
 	Era        int64         `json:"era"`
 	Position   int64         `json:"position"`
 	Reading    bool          `json:"reading"`
 }
 
-// status collects a Status. It is for other goroutines.
+// status returns the current Status. It may be called from any goroutine.
 func (c *control) status() Status {
 	out := make(chan Status, 1)
 	c.post(func() { out <- c.snapshot() })
@@ -50,11 +50,11 @@
 	now := c.now()
 	s := Status{
 		VM: c.edge.boot.VM, DataCenter: c.edge.boot.DataCenter, Up: now,
-		Ready: c.edge.ready.now(), Leaving: c.leaving, Version: c.version,
+		Ready: c.edge.ready.isReady(), Leaving: c.leaving, Version: c.version,
 		Era: c.replica.Position().Era, Position: c.replica.Position().Number, Settling: c.settling.Left(now), Age: c.replica.Age(now), Reading: c.reader.Reading(), StoreLost: c.storeLost,
 	}
 	for name, n := range c.peers {
-		s.Peers = append(s.Peers, Peer{name, n.last.DataCenter, now - n.heard, n.last.Version, n.last.Era, n.last.Position, n.last.Reading})
+		s.Peers = append(s.Peers, Peer{name, n.last.DataCenter, now - n.lastHeard, n.last.Version, n.last.Era, n.last.Position, n.last.Reading})
 	}
 	slices.SortFunc(s.Peers, func(a, b Peer) int { return cmp.Compare(a.VM, b.VM) })
 	c.edge.mu.Lock()
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -11,28 +11,28 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// The operator adds and drops routes while the store cannot be reached by one
-// balancer, the first in rank, which reads for all. All balancers have to follow
-// within the bound, that one through its peers.
+// The operator adds and removes routes while the first balancer in rank, which reads for
+// all, cannot reach the store. All balancers must follow within the time limit, the first
+// one through its peers.
 func TestCatalogueIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
 	d.balancers[0].link.Refuse(true)
-	d.store.Put(platform.CatalogueKey, desired(5, scans, newRoute))
+	d.store.Put(platform.CatalogueKey, desiredState(5, scans, newRoute))
 	time.Sleep(d.balancers[0].boot.Apply)
 	for i, b := range d.balancers {
 		if _, err := d.ask(b, newRoute); err != nil {
-			t.Errorf("balancer %d: route that was added: %v", i, err)
+			t.Errorf("balancer %d: added route: %v", i, err)
 		}
 		if _, err := d.ask(b, previews); !errors.Is(err, direct.ErrReset) {
-			t.Errorf("balancer %d: route that was dropped: %v, want a reset", i, err)
+			t.Errorf("balancer %d: removed route: %v, want a reset", i, err)
 		}
 	}
 }
 
-// A balancer that is not the first reads for itself for a while, as it heard
-// nobody, and its reads fail. Once it hears others again it has to follow them,
-// not wait for its own reads.
+// A balancer that is not the first one reads the store itself for a while, as it heard no
+// others, and its reads fail. Once it hears others again it must follow them instead of
+// waiting for its own reads.
 func TestFailingReaderFollowsPeers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
@@ -44,41 +44,41 @@
 	for _, b := range d.balancers[:2] {
 		b.link.Refuse(false)
 	}
-	d.store.Put(platform.CatalogueKey, desired(6, scans, newRoute))
+	d.store.Put(platform.CatalogueKey, desiredState(6, scans, newRoute))
 	time.Sleep(last.boot.Apply)
 	if _, err := d.ask(last, newRoute); err != nil {
-		t.Errorf("route that was added: %v", err)
+		t.Errorf("added route: %v", err)
 	}
 	if _, err := d.ask(last, previews); !errors.Is(err, direct.ErrReset) {
-		t.Errorf("route that was dropped: %v, want a reset", err)
+		t.Errorf("removed route: %v, want a reset", err)
 	}
 }
 
-// The connections to the store go silent for good, without a reset, while new
-// ones work. A change must be in force within its bound all the same.
+// The connections to the store become silent without a reset, while new connections work.
+// A change must still come into force within the time limit.
 func TestSilentStoreConnections(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
 	for _, b := range d.balancers {
 		b.link.Silence()
 	}
-	d.store.Put(platform.CatalogueKey, desired(8, scans, newRoute))
+	d.store.Put(platform.CatalogueKey, desiredState(8, scans, newRoute))
 	time.Sleep(d.balancers[0].boot.Apply)
 	for i, b := range d.balancers {
 		if _, err := d.ask(b, newRoute); err != nil {
-			t.Errorf("balancer %d: route that was added: %v", i, err)
+			t.Errorf("balancer %d: added route: %v", i, err)
 		}
 	}
 }
 
-// The store forgets its history between two reads. Balancers list everything
-// again and learn what they missed.
+// The store compacts its history between two reads. Balancers must list it again and
+// learn of the missed changes.
 func TestHistoryIsForgotten(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
 	d.store.FailAll(direct.Busy)
 	time.Sleep(time.Second)
-	d.store.Put(platform.CatalogueKey, desired(7, scans, newRoute))
+	d.store.Put(platform.CatalogueKey, desiredState(7, scans, newRoute))
 	d.store.Forget()
 	d.store.FailAll(direct.Healthy)
 	for i, b := range d.balancers {
@@ -89,8 +89,8 @@
 	}
 }
 
-// The store is silent for good when a balancer starts. It learns everything from
-// a seed and serves.
+// The store is silent while a balancer starts. The balancer must get its copy from a seed
+// and serve.
 func TestStartsWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -101,8 +101,8 @@
 	d.store.FailAll(direct.Healthy)
 }
 
-// One balancer reads the store for all; the others must not add to its calls.
-func TestOneReads(t *testing.T) {
+// One balancer reads the store for all. The others must not add to its calls.
+func TestOnlyOneBalancerReads(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 4)
 	time.Sleep(time.Second)
@@ -116,34 +116,34 @@
 	}
 }
 
-// The store takes a balancer's registration away while it lives, as on an
-// operator's mistake. It registers again at once: unregistered it hears no
-// heartbeat, and its copy of the store gets old.
+// A live balancer's registration is removed from the store, for example by an operator's
+// mistake. The balancer must register again at once: without a registration it gets no
+// heartbeats, and its replica gets old.
 func TestRegistrationTakenAwayIsRenewed(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
 	key := d.balancers[2].registration()
-	d.acquainted()
+	d.waitForPeers()
 	d.store.Remove(key)
 	d.eventually(3*time.Second, "the balancer is registered again", func() bool {
 		return slices.Contains(d.store.Keys(platform.MemberPrefix), key)
 	})
 }
 
-// The store takes a balancer's registration away and turns the balancer itself
-// away. Its peers hear it all the same and have to go on telling it what they
-// know: its copy stays as fresh as theirs.
-func TestUnregisteredBalancerIsStillTold(t *testing.T) {
+// The store removes a balancer's registration and rejects the balancer's calls. Its peers
+// still hear it and must keep sending updates to it, so that its replica stays as fresh
+// as theirs.
+func TestUnregisteredBalancerGetsUpdates(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
 	cut := d.balancers[2]
-	d.acquainted()
+	d.waitForPeers()
 	cut.link.Refuse(true)
 	d.store.Remove(cut.registration())
 	time.Sleep(time.Second)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if age := cut.believes(t).Age; age > oldCopy {
-			t.Fatalf("the copy is %v old", age)
+		if age := cut.adminStatus(t).Age; age > fetchAge {
+			t.Fatalf("the replica is %v old", age)
 		}
 	}
 }
--- a/internal/edge/targets_test.go
+++ b/internal/edge/targets_test.go
@@ -9,7 +9,7 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// A target announces that it will leave. After the bound no balancer opens flows
+// A target announces that it leaves. After the time limit no balancer may open flows
 // there, while its open flows go on.
 func TestDrainingTargetGetsNoNewFlows(t *testing.T) {
 	t.Parallel()
@@ -33,16 +33,16 @@
 		d.mustAsk(d.balancers[i%2], previews)
 	}
 	if n := leaving.Opened.Load() - before; n > 0 {
-		t.Errorf("%d flows were opened at the target that leaves", n)
+		t.Errorf("%d flows were opened at the leaving target", n)
 	}
 	if _, err := fl.Ask("b", time.Second); err != nil {
-		t.Errorf("open flow at the target that leaves: %v", err)
+		t.Errorf("open flow at the leaving target: %v", err)
 	}
 }
 
-// A target crashes while callers hold flows there. Its address refuses
-// connections; the callers' next requests are reset at once, not after seconds,
-// and new flows go elsewhere.
+// A target crashes while callers have flows there, and its address refuses connections.
+// The callers' next requests must be reset at once instead of after seconds, and new
+// flows must go elsewhere.
 func TestCrashedTarget(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1)
@@ -58,7 +58,7 @@
 			flows = append(flows, fl)
 		}
 	}
-	d.mustAsk(b, scans) // another target shows life
+	d.mustAsk(b, scans) // another target answers
 	crashed.Stop()
 	for i, fl := range flows {
 		began := time.Now()
--- a/internal/edge/bare_test.go
+++ b/internal/edge/testcontrol_test.go
@@ -11,12 +11,12 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// at is a revision of a store that tells no era.
+// at returns a revision of a store that does not report eras.
 func at(number int64) revision.Revision { return revision.Revision{Number: number} }
 
-// bareControl is the control state of balancer a1 of data centre a, without
+// newTestControl returns the control state of balancer a1 of data centre a, without
 // sockets, for tests of single decisions.
-func bareControl(t testing.TB) *control {
+func newTestControl(t testing.TB) *control {
 	t.Helper()
 	e := &Edge{boot: platform.Boot{VM: "a1", DataCenter: "a"}, start: time.Now(), ready: &ready{}}
 	log, err := logging.New(&output{}, "info", e.boot.VM, e.boot.DataCenter)
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(log.Close)
-	return &control{edge: e, log: log, fleet: peer.NewFleet(e.member()), peers: map[string]*neighbour{},
+	return &control{edge: e, log: log, fleet: peer.NewFleet(e.member()), peers: map[string]*peerState{},
 		replica: replica.New(platform.Significant)}
 }
--- a/internal/edge/times.go
+++ b/internal/edge/times.go
@@ -8,22 +8,22 @@
 	"rosedale.dev/rosedale/internal/metrics"
 )
 
-// timeBuckets reach from a packet's handling on a fast machine to the time in
-// which changes have to be in force, in steps of two and a half.
+// timeBuckets range from the handling of a packet on a fast machine to the time in which
+// changes have to be in force, in steps of about two and a half.
 var timeBuckets = tally.DurationBuckets{
 	20 * time.Microsecond, 50 * time.Microsecond, 125 * time.Microsecond, 300 * time.Microsecond, 800 * time.Microsecond,
 	2 * time.Millisecond, 5 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond,
 	200 * time.Millisecond, 500 * time.Millisecond, 1250 * time.Millisecond, 3 * time.Second, 8 * time.Second,
 }
 
-// times are the latency histograms. It implements direct.Times.
+// times holds the latency histograms. It implements direct.Times.
 type times struct {
 	forward  tally.Histogram // from a packet's arrival in the process to its departure
 	opened   tally.Histogram
 	answered tally.Histogram
 	detected tally.Histogram
-	change   tally.Histogram // from the question for a change to its being in force
-	age      tally.Histogram // of the copy of the store, at each tick
+	change   tally.Histogram // from the request for a change until it is in force
+	age      tally.Histogram // of the replica, at each tick
 }
 
 func newTimes(m *metrics.Collector) *times {
