--- a/internal/flow/entry.go
+++ b/internal/flow/entry.go
@@ -22,13 +22,14 @@
 	Probing
 	// Closing: the flow has ended; the entry is kept to forward late packets.
 	Closing
-	// Refused: the opening was answered with a reset. No payload was
-	// forwarded.
+	// Refused: the caller's opening packet was answered with a reset. No
+	// payload was forwarded.
 	Refused
-	// Handed: the opening was handed over to a new home.
+	// Handed: this balancer has handed the opening over to its new home.
 	Handed
-	// Spilled: another group's balancers decide on the flow. LastAnswer holds
-	// the hash of that group's data centre instead of a tick.
+	// Spilled: the balancers of another group, which serves other data
+	// centres, decide on the flow. LastAnswer holds the hash of the chosen
+	// data centre instead of a tick.
 	Spilled
 	// Hinted: the target was taken from one answer without payload, which does
 	// not prove that it has the flow. No packet is forwarded by this entry.
@@ -48,7 +49,8 @@
 const (
 	// Counted: the entry is included in its target's load at this balancer.
 	Counted uint8 = 1 << iota
-	// HandedOver: the entry came from the flow's previous home.
+	// HandedOver: this balancer received the entry from the flow's previous
+	// home.
 	HandedOver
 )
 
@@ -56,10 +58,11 @@
 // process's data path started.
 type Entry struct {
 	Key    Key
-	Target uint32 // identifier of (service number, target address)
-	// Seq is the caller's initial sequence number while Opening, the target's
-	// while Accepted, and after that the last of the caller's sequence numbers
-	// that the target acknowledged.
+	Target uint32 // identifier of (service number, target address), or 0 if none
+	// Seq is the caller's initial sequence number until a target accepts the
+	// opening, and the target's while Accepted. After that it is a recent
+	// sequence number of the caller, usually the last that the target
+	// acknowledged, or 0 if none is known.
 	Seq        uint32
 	LastPacket uint32 // tick of the last packet in either direction
 	LastAnswer uint32 // tick of the last answer; see also Spilled
--- a/internal/flow/table.go
+++ b/internal/flow/table.go
@@ -12,12 +12,13 @@
 
 	shardBits  = 8
 	shardCount = 1 << shardBits
+	// firstSlots is the number of slots of a shard with its first entry.
 	firstSlots = 16
 	// A shard grows by a quarter when it is more than four fifths full, which
 	// keeps the memory for each entry close to the entry's own size.
 	loadNum, loadDen = 4, 5
-	// Learned and hinted entries may fill a shard only up to this share of its
-	// limit.
+	// Learned and hinted entries are inserted only while all entries of the
+	// shard take less than this share of its limit.
 	learnNum, learnDen = 7, 8
 	// evictScan is the number of slots examined to find an evictable entry.
 	evictScan = 64
@@ -31,7 +32,8 @@
 	shards [shardCount]Shard
 }
 
-// Shard is one part of a Table. Callers of its methods must hold its lock.
+// Shard is one part of a Table. Callers of its exported methods must hold its
+// lock.
 type Shard struct {
 	sync.Mutex
 	slots []Entry
@@ -94,6 +96,8 @@
 	}
 }
 
+// index returns the first slot of the probe sequence of a hash. It uses the low
+// 32 bits, since the high ones select the shard.
 func (s *Shard) index(hash uint64) int {
 	return int((hash & (1<<32 - 1)) * uint64(len(s.slots)) >> 32)
 }
@@ -144,6 +148,8 @@
 	return e
 }
 
+// evictLearned removes a learned or hinted entry that is not counted, among the
+// first evictScan slots at and after from. It returns false if there is none.
 func (s *Shard) evictLearned(from int) bool {
 	for n := range min(evictScan, len(s.slots)) {
 		i := (from + n) % len(s.slots)
@@ -155,6 +161,7 @@
 	return false
 }
 
+// place returns the free slot for an entry with the given hash.
 func (s *Shard) place(k Key, hash uint64) *Entry {
 	i := s.index(hash)
 	for s.slots[i].State != 0 {
--- a/internal/flow/table_test.go
+++ b/internal/flow/table_test.go
@@ -35,7 +35,7 @@
 		found := map[Key]uint32{}
 		table.Each(func(e *Entry) bool { found[e.Key] = e.Target; return true })
 		if len(found) != len(model) || table.Len() != len(model) {
-			t.Fatalf("%d entries, want %d", len(found), len(model))
+			t.Fatalf("the table has %d entries, want %d", len(found), len(model))
 		}
 		for k, v := range model {
 			e := table.Shard(k.Hash()).Get(k, k.Hash())
@@ -110,14 +110,14 @@
 		return true
 	})
 	if table.Len() != 1667 {
-		t.Fatalf("%d entries are left", table.Len())
+		t.Fatalf("%d entries are left, want 1667", table.Len())
 	}
 }
 
 // Capacity planning assumes at most 48 bytes for each flow.
 func TestEntrySize(t *testing.T) {
 	if n := unsafe.Sizeof(Entry{}); n > 48 {
-		t.Fatalf("an entry takes %d bytes", n)
+		t.Fatalf("an entry has %d bytes, want at most 48", n)
 	}
 }
 
