--- a/internal/balance/admission.go
+++ b/internal/balance/admission.go
@@ -7,9 +7,9 @@
 )
 
 // maxWaitShare is the share of a waiter's remaining time that its expected
-// wait may take. A value below 1 means that nearly all who wait are admitted.
-// It costs no throughput, since the slots are in use either way and the others
-// are refused at once.
+// wait may take. With a value below 1 nearly all waiters that are not refused
+// early are admitted. Early refusals cost no throughput, since all slots are in
+// use either way.
 const maxWaitShare = 0.9
 
 // Advance updates the rate at which slots become free and releases delayed
@@ -27,22 +27,22 @@
 // admitted before their deadlines, at the rate at which slots became free in
 // the last seconds.
 //
-// Without this, when callers ask for more than the slots can serve, everyone
-// in the queue waits until the deadline, and those who are refused learn it
-// only then. An early refusal leaves the caller time to ask elsewhere or come
-// back later.
+// Without this, when callers ask for more than the slots can serve, all of them
+// wait until close to their deadlines, and refusals are sent only at the
+// deadline. An early refusal leaves the caller time to connect elsewhere
+// or to try again later.
 func (p *Pool) WillMissDeadline(now time.Duration) []Waiter {
 	rate := p.slotRate.rate()
 	if rate == 0 || p.Queue.Len() == 0 || p.eligibleSlots() == 0 {
-		return nil // the rate is unknown, or targets may come back
+		return nil // the rate is unknown, or targets may become eligible again
 	}
-	each := float64(time.Second) / rate
+	slotInterval := float64(time.Second) / rate
 	var out []Waiter
 	for _, urgent := range []bool{true, false} {
-		interval := each / p.Queue.admissionShare(urgent)
+		admissionInterval := slotInterval / p.Queue.admissionShare(urgent)
 		ahead := 0
 		for _, w := range p.Queue.byDeadline(Slot, urgent) {
-			if float64(ahead+1)*interval > maxWaitShare*float64(w.Deadline-now) {
+			if float64(ahead+1)*admissionInterval > maxWaitShare*float64(w.Deadline-now) {
 				out = append(out, w)
 				continue
 			}
@@ -88,7 +88,7 @@
 func (q *Queue) admissionShare(urgent bool) float64 {
 	sum := q.urgentAdmitted + q.othersAdmitted
 	if sum < 1 {
-		return 1 // no waiter was admitted yet
+		return 1 // no waiter has been admitted yet
 	}
 	if urgent {
 		return max(q.urgentAdmitted/sum, float64(fairShare-1)/fairShare)
@@ -96,6 +96,7 @@
 	return max(q.othersAdmitted/sum, 1.0/fairShare)
 }
 
+// countAdmission adds an admission to the decaying counts.
 func (q *Queue) countAdmission(urgent bool) {
 	q.urgentAdmitted *= admissionDecay
 	q.othersAdmitted *= admissionDecay
--- a/internal/balance/admission_test.go
+++ b/internal/balance/admission_test.go
@@ -28,9 +28,9 @@
 	return now
 }
 
-// One hundred waiters queue for two slots that serve 20 requests a second,
-// with a deadline of one second. Only those beyond nine tenths of the
-// deadline, or 17 waiters, may be refused early.
+// One hundred waiters queue for two slots that serve 20 requests per second,
+// with a deadline of one second. 17 of them can be admitted within nine tenths
+// of the deadline; only the others may be refused early.
 func TestWaitersBeyondTheRateMissTheirDeadline(t *testing.T) {
 	p, now := busyPool()
 	for i := range uint32(100) {
@@ -45,9 +45,9 @@
 	}
 }
 
-// Urgent requests took three of four admissions recently, so that ordinary
-// ones can expect a quarter of the rate, whatever waits at the moment. Those
-// beyond it must be refused at once and not when the deadline is near.
+// Three of four recent admissions went to urgent requests, so that ordinary
+// ones can expect a quarter of the rate, whichever requests wait at the moment.
+// Those beyond it must be refused at once and not when the deadline is near.
 func TestOrdinaryWaitersGetTheirShareOfTheRate(t *testing.T) {
 	p, now := busyPool()
 	for i := range uint32(60) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// While the rate is unknown, after idle time or with no eligible target,
-// nobody is refused early.
+// No waiter may be refused early while the rate is unknown because the service
+// was idle, or while no target is eligible.
 func TestUnknownRateRefusesNobody(t *testing.T) {
 	p := testPool(1, 2)
 	for i := range uint32(100) {
@@ -87,7 +87,7 @@
 	p.Update(now, 1, []Target{{ID: 1, Limit: [units]int{2000, 2}}})
 	p.Queue.Push(waiter(1, false, now+time.Millisecond))
 	if n := len(p.WillMissDeadline(now)); n > 0 {
-		t.Fatal("a waiter was refused while targets may come back")
+		t.Fatal("a waiter was refused although targets may become eligible again")
 	}
 }
 
@@ -105,7 +105,7 @@
 	for _, pause := range []time.Duration{0, time.Second} {
 		p.Advance(now + pause)
 		if n := 100 - len(p.WillMissDeadline(now)); n < 16 || n > 20 {
-			t.Fatalf("after %v %d of 100 waiters stay in the queue, want 17", pause, n)
+			t.Fatalf("after a pause of %v, %d of 100 waiters stay in the queue, want 17", pause, n)
 		}
 	}
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -34,7 +34,7 @@
 	for range 8 {
 		w, ok := q.Next(time.Hour, Slot)
 		if !ok {
-			t.Fatal("empty")
+			t.Fatal("the queue is empty")
 		}
 		got = append(got, w.Key.Port)
 		q.Remove(w.Key, true)
@@ -55,11 +55,11 @@
 		q.Push(waiter(i+1, false, time.Duration(i)))
 	}
 	if _, _, ok := q.Push(waiter(9000, false, 0)); ok {
-		t.Fatal("the bound was exceeded")
+		t.Fatal("a waiter was added to a full queue")
 	}
 	out, displaced, ok := q.Push(waiter(9001, true, 0))
 	if !ok || !displaced || out.Key.Port != MaxQueue {
-		t.Fatalf("displaced %v %v %v", out.Key.Port, displaced, ok)
+		t.Fatalf("Push returned the waiter of port %v, displaced %v, ok %v", out.Key.Port, displaced, ok)
 	}
 }
 
@@ -68,18 +68,18 @@
 	for i := range 6 {
 		id, ok := p.Choose(0, Slot, uint64(i)*7919, nil)
 		if !ok {
-			t.Fatalf("no room for %d", i)
+			t.Fatalf("no target has room for flow %d", i)
 		}
 		p.Acquire(id, Slot)
 	}
 	if _, ok := p.Choose(0, Slot, 1, nil); ok {
-		t.Fatal("a seventh got a slot of six")
+		t.Fatal("a seventh flow got one of six slots")
 	}
 }
 
 // Guards against a target that just became active receiving all new flows
 // because it is the least loaded: slow start gives it a growing share.
-func TestColdTargetIsNotFlooded(t *testing.T) {
+func TestSlowStartLimitsNewFlows(t *testing.T) {
 	p := testPool(4, 2)
 	for i := range 400 {
 		id, _ := p.Choose(0, Connection, uint64(i)*7919, nil)
@@ -97,7 +97,7 @@
 		p.Acquire(id, Connection)
 	}
 	if n := p.Used(9, Connection); n == 0 || n > 12 {
-		t.Fatalf("the cold target got %d of 100 flows in its first second", n)
+		t.Fatalf("the target in slow start got %d of 100 flows in its first second", n)
 	}
 }
 
@@ -133,24 +133,24 @@
 		t.Fatalf("the busy target got %d of 400 flows", n)
 	}
 	if n := share(now + reportWindow); n < 50 {
-		t.Fatalf("the target got %d of 400 flows after its last report aged", n)
+		t.Fatalf("the target got %d of 400 flows after its last report expired", n)
 	}
 }
 
 // A target's SYN-ACK is lost and the opening goes to another target. The first
 // target keeps room for the half-open connection until it retransmits the
 // SYN-ACK a second later; openings sent there before that would be refused.
-func TestTargetLeftBehindKeepsItsSlot(t *testing.T) {
+func TestAbandonedTargetKeepsItsSlot(t *testing.T) {
 	p := testPool(1, 1)
 	p.Acquire(1, Slot)
 	p.ReleaseLater(0, 1, Slot)
 	p.Advance(time.Second)
 	if _, ok := p.Choose(time.Second, Slot, 1, nil); ok {
-		t.Fatal("the slot was given away at once")
+		t.Fatal("the slot was released before the delay")
 	}
 	p.Advance(releaseDelay)
 	if _, ok := p.Choose(releaseDelay, Slot, 1, nil); !ok {
-		t.Fatal("the slot never came back")
+		t.Fatal("the slot was not released after the delay")
 	}
 }
 
--- a/internal/balance/budget.go
+++ b/internal/balance/budget.go
@@ -15,7 +15,7 @@
 // NewBudget returns a full budget.
 func NewBudget() Budget { return Budget{tokens: retryBurst} }
 
-// Opened adds the share of a new opening to the budget.
+// Opened adds the tokens of one new opening to the budget.
 func (b *Budget) Opened() { b.tokens = min(b.tokens+retryRatio, retryBurst) }
 
 // Take takes one retry from the budget. It returns false if none is left.
--- a/internal/balance/delayedrelease.go
+++ b/internal/balance/delayedrelease.go
@@ -14,8 +14,8 @@
 // retransmits an unanswered SYN-ACK (RFC 6298).
 const releaseDelay = 1200 * time.Millisecond
 
-// ReleaseLater releases a unit at an abandoned target after the time in which
-// the target retransmits its SYN-ACK.
+// ReleaseLater releases one unit u at target id, which an opening has
+// abandoned, after releaseDelay.
 //
 // When a target's SYN-ACK is lost and the opening goes to another target, the
 // first one keeps room for the half-open connection until its retransmitted
--- a/internal/balance/explain.go
+++ b/internal/balance/explain.go
@@ -8,7 +8,7 @@
 // Explanation is the target that Choose would return, with the state of every
 // target.
 type Explanation struct {
-	Choice  uint32
+	Choice  uint32 // target identifier, or 0 if no eligible target has room
 	Why     string
 	Targets []TargetNote
 }
@@ -18,12 +18,13 @@
 	ID       uint32
 	Place    int // position in the flow's rendezvous order, from 1
 	Eligible bool
-	Load     float64
-	Limit    int
-	Note     string
+	Load     float64 // estimate, in units
+	Limit    int     // in units
+	Note     string  // why Choose may skip the target, or empty
 }
 
-// Explain makes the same choice as Choose without changing the pool.
+// Explain makes the same choice as Choose, but adds no slow-start credit. Key is
+// the flow's hash.
 func (p *Pool) Explain(now time.Duration, u Unit, key uint64) Explanation {
 	var x Explanation
 	total, n := 0.0, 0
@@ -49,6 +50,7 @@
 	return x
 }
 
+// note returns the reason for which Choose may skip the target, or "".
 func (t *state) note(now time.Duration, u Unit, homes int) string {
 	switch {
 	case !t.Eligible:
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -17,13 +17,13 @@
 // not safe for concurrent use.
 type Pool struct {
 	Policy     Policy
-	Slack      float64
+	Slack      float64        // for Bounded; see SlackFor
 	homes      int            // balancers that choose for this service
 	avg        [units]float64 // average load at the last choice
 	list       []*state
 	byID       map[uint32]*state
-	Queue      Queue
-	Budget     Budget
+	Queue      Queue  // openings that wait for a target with room
+	Budget     Budget // for retries of openings
 	slotRate   slotRate
 	turn       uint64 // number of slots taken so far
 	slotsInUse int    // at all targets
@@ -35,8 +35,9 @@
 	return &Pool{byID: map[uint32]*state{}, homes: 1, Budget: NewBudget()}
 }
 
-// Update replaces the targets. Accounting is kept for targets that stay, and
-// for removed ones while flows still use them.
+// Update replaces the targets. Homes is the number of balancers that choose for
+// this service. Accounting is kept for targets that stay, and for removed ones
+// while flows still use them.
 func (p *Pool) Update(now time.Duration, homes int, targets []Target) {
 	p.homes = max(homes, 1)
 	initial := len(p.list) == 0
@@ -105,6 +106,8 @@
 	eligible                            int
 }
 
+// choose makes one pass over the targets. With strict set it skips targets that
+// slow start excludes.
 func (p *Pool) choose(now time.Duration, u Unit, key uint64, tried []uint32, strict bool) (uint32, bool) {
 	var c choice
 	for _, t := range p.list {
@@ -126,6 +129,7 @@
 	return p.pick(now, u, &c).ID, true
 }
 
+// add considers a target with room as first, second and least.
 func (c *choice) add(u Unit, t *state, load float64, score uint64) {
 	switch {
 	case c.first == nil || score > c.firstScore:
@@ -139,6 +143,7 @@
 	}
 }
 
+// pick applies the policy.
 func (p *Pool) pick(now time.Duration, u Unit, c *choice) *state {
 	load := func(t *state) float64 { return t.load(u, p.homes, now, p.avg[u]) }
 	switch p.Policy {
@@ -163,8 +168,8 @@
 // with two slots most targets are equally loaded most of the time, and the
 // preference would decide where half of the requests go. For the same reason
 // slots are given out in turn, least recently used first; the rendezvous order
-// would leave the distribution of requests to chance. Slots need no order that
-// others can recompute, since their home counts every one of them.
+// would leave the distribution of requests to chance. No other balancer needs to
+// recompute the choice for a slot, since the home counts every slot.
 func (c *choice) breaksTie(u Unit, t *state, score uint64) bool {
 	if u == Slot && t.turn != c.least.turn {
 		return t.turn < c.least.turn
@@ -197,7 +202,7 @@
 	}
 }
 
-// Release ends the count of one Acquire.
+// Release undoes one Acquire.
 func (p *Pool) Release(id uint32, u Unit) {
 	s := p.byID[id]
 	if s == nil || s.used[u] == 0 {
@@ -210,8 +215,8 @@
 	}
 }
 
-// Shed records that target id refused an opening although it had room by its
-// counts.
+// Shed records that target id refused an opening although it had room by the
+// pool's counts. It is not chosen for ShedPause.
 func (p *Pool) Shed(now time.Duration, id uint32) {
 	if s := p.byID[id]; s != nil {
 		s.shedUntil = now + ShedPause
@@ -232,7 +237,8 @@
 	}
 }
 
-// Accepted records that target id accepted an opening.
+// Accepted records that target id accepted an opening, which ends the doubling
+// of pauses by Unanswered.
 func (p *Pool) Accepted(id uint32) {
 	if s := p.byID[id]; s != nil {
 		s.unanswered = 0
@@ -245,8 +251,7 @@
 	return s != nil && s.hasRoom(u, p.homes)
 }
 
-// Used returns how many units of u the flows of this balancer use at target
-// id.
+// Used returns how many units u the flows of this balancer use at target id.
 func (p *Pool) Used(id uint32, u Unit) int {
 	if s := p.byID[id]; s != nil {
 		return s.used[u]
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -30,7 +30,9 @@
 
 const (
 	// MaxQueue is the maximum number of waiters of one service.
-	MaxQueue  = 512
+	MaxQueue = 512
+	// fairShare is the number of admissions of which one goes to a waiter that
+	// is not urgent, if there is any.
 	fairShare = 4
 )
 
--- a/internal/balance/slotrate.go
+++ b/internal/balance/slotrate.go
@@ -13,7 +13,8 @@
 	// minEnded is the (decayed) number of ended requests below which the rate
 	// is unknown.
 	minEnded = 10
-	// negligible is the sum below which decay need not continue.
+	// negligible is the (decayed) number of ended requests below which the
+	// estimate of an idle service is not updated.
 	negligible = 0.01
 )
 
@@ -24,9 +25,9 @@
 // end is right while all slots are busy. The highest estimate of the last
 // seconds is used.
 //
-// When a data centre is cut off, the requests at its targets hold their slots
-// until it comes back or they are abandoned. For a few seconds hardly any
-// slots become free, and an estimate from those seconds alone would refuse
+// When a data centre is cut off, the requests at its targets keep their
+// slots in use until it is reachable again or their flows end. For a few seconds
+// hardly any slots become free, and an estimate from those seconds alone would refuse
 // callers who can still be admitted.
 type slotRate struct {
 	slotSeconds float64 // slots in use times seconds, decaying
@@ -36,38 +37,39 @@
 	updatedAt   time.Duration
 }
 
-// active reports whether the estimate can change; most services are idle.
-func (p *slotRate) active(used int) bool { return used > 0 || p.ended >= negligible }
+// active reports whether the estimate can change. Most services are idle and
+// need no updates.
+func (r *slotRate) active(used int) bool { return used > 0 || r.ended >= negligible }
 
-// advance accounts for used of the given number of slots in use since the last
-// call.
-func (p *slotRate) advance(now time.Duration, used, slots int) {
-	dt := (now - p.updatedAt).Seconds()
-	p.updatedAt = now
+// advance updates the estimate for the time since the last call, in which used
+// of the given number of slots were in use.
+func (r *slotRate) advance(now time.Duration, used, slots int) {
+	dt := (now - r.updatedAt).Seconds()
+	r.updatedAt = now
 	if dt <= 0 {
 		return
 	}
 	decay := math.Exp(-dt / lengthDecay.Seconds())
-	p.slotSeconds = p.slotSeconds*decay + float64(used)*dt
-	p.ended *= decay
-	p.recent *= math.Exp(-dt / recentDecay.Seconds())
-	p.bestRate *= decay
-	if p.ended >= minEnded {
-		byLength := float64(slots) * p.ended / p.slotSeconds
-		p.bestRate = max(p.bestRate, byLength, p.recent/recentDecay.Seconds())
+	r.slotSeconds = r.slotSeconds*decay + float64(used)*dt
+	r.ended *= decay
+	r.recent *= math.Exp(-dt / recentDecay.Seconds())
+	r.bestRate *= decay
+	if r.ended >= minEnded {
+		byLength := float64(slots) * r.ended / r.slotSeconds
+		r.bestRate = max(r.bestRate, byLength, r.recent/recentDecay.Seconds())
 	}
 }
 
-func (p *slotRate) requestEnded() {
-	p.ended++
-	p.recent++
+func (r *slotRate) requestEnded() {
+	r.ended++
+	r.recent++
 }
 
 // rate returns how many slots become free per second when all are busy, or
 // zero while too few requests have ended.
-func (p *slotRate) rate() float64 {
-	if p.ended < minEnded {
+func (r *slotRate) rate() float64 {
+	if r.ended < minEnded {
 		return 0
 	}
-	return p.bestRate
+	return r.bestRate
 }
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -5,9 +5,9 @@
 // Target is the description of a target given to a Pool.
 type Target struct {
 	ID       uint32
-	Seed     uint64 // rendezvous seed
-	Eligible bool   // active, not leaving, and not known to be unhealthy
-	Limit    [units]int
+	Seed     uint64     // rendezvous seed
+	Eligible bool       // active, not leaving, and not known to be unhealthy
+	Limit    [units]int // connections and slots that the target takes
 	// Ramp is the slow-start time, over which a target that became eligible
 	// reaches its full share of new flows. Zero disables slow start.
 	Ramp time.Duration
@@ -25,11 +25,11 @@
 	// share of new flows since then that it has not used.
 	rampFrom   time.Duration
 	credit     float64
-	shedUntil  time.Duration
-	unanswered int // consecutive openings left unanswered
+	shedUntil  time.Duration // not chosen before
+	unanswered int           // consecutive openings left unanswered
 	// reported is the smoothed load reported by the target's endpoint, where 1
-	// is full. excess is the work not explained by flows of these balancers,
-	// as a multiple of an average target's work.
+	// is full. excess is the work that is not explained by the flows of the
+	// balancers, as a multiple of an average target's work.
 	reported      float64
 	lastReportAt  time.Duration
 	firstReportAt time.Duration // first report after a gap of reportWindow
@@ -110,6 +110,7 @@
 	return t.Ramp > 0 && now-t.rampFrom < t.Ramp && t.credit < 1
 }
 
+// accrue adds the credit for one new flow of a pool of n targets.
 func (t *state) accrue(now time.Duration, n int) {
 	if t.Ramp <= 0 || now-t.rampFrom >= t.Ramp {
 		return
