--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -8,7 +8,8 @@
 // Seed returns the hash of a node's name, to be computed once per node.
 func Seed(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Score returns the weight of the node with the given seed for a key.
+// Score returns the weight of the node with the given seed for a key. It mixes
+// them with the 64-bit finalizer of MurmurHash3.
 func Score(key, seed uint64) uint64 {
 	x := key ^ seed
 	x ^= x >> 33
@@ -30,7 +31,7 @@
 	return at
 }
 
-// Order appends the indexes of the k highest-scoring nodes, best first.
+// Order appends the indexes of the k highest-scoring nodes to dst, best first.
 func Order(dst []int, key uint64, seeds []uint64, k int) []int {
 	base := len(dst)
 	for i, s := range seeds {
@@ -42,6 +43,7 @@
 	return dst
 }
 
+// insert adds index i at its place in the order that begins at base.
 func insert(dst []int, base, i int, score, key uint64, seeds []uint64) []int {
 	dst = append(dst, i)
 	for j := len(dst) - 1; j > base && score > Score(key, seeds[dst[j-1]]); j-- {
