--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -28,7 +28,7 @@
 		}
 		data, _ := Parse(Build(x[0], x[1], 101, 900, header.TCPFlagAck, []byte("note")))
 		if data.PayloadLen != 4 {
-			t.Fatalf("payload of %d", data.PayloadLen)
+			t.Fatalf("payload of %d bytes, want 4", data.PayloadLen)
 		}
 		if r, _ = Parse(ResetTo(&data)); r.Seq != 900 || r.HasAck() {
 			t.Fatalf("reset to data: %+v", r)
--- a/internal/packet/reset.go
+++ b/internal/packet/reset.go
@@ -8,7 +8,8 @@
 	"gvisor.dev/gvisor/pkg/tcpip/header"
 )
 
-const resetTTL = 64
+// initialTTL is the TTL or hop limit of the packets that Build returns.
+const initialTTL = 64
 
 // ResetTo returns the reset with which a host without the connection answers s
 // (RFC 9293, section 3.10.7.1).
@@ -66,7 +67,7 @@
 	return b
 }
 
-const buildWindow = 65535
+const buildWindow = 65535 // bytes
 
 // buildIP returns a packet with room for n bytes of TCP and a complete IP
 // header, and the length of that header.
@@ -76,7 +77,7 @@
 		header.IPv6(b).Encode(&header.IPv6Fields{
 			PayloadLength:     uint16(n),
 			TransportProtocol: header.TCPProtocolNumber,
-			HopLimit:          resetTTL,
+			HopLimit:          initialTTL,
 			SrcAddr:           sa,
 			DstAddr:           da,
 		})
@@ -86,7 +87,7 @@
 	ip := header.IPv4(b)
 	ip.Encode(&header.IPv4Fields{
 		TotalLength: uint16(len(b)),
-		TTL:         resetTTL,
+		TTL:         initialTTL,
 		Protocol:    uint8(header.TCPProtocolNumber),
 		SrcAddr:     sa,
 		DstAddr:     da,
