--- a/internal/geneve/geneve.go
+++ b/internal/geneve/geneve.go
@@ -23,8 +23,8 @@
 
 	optionClass  = 0xFFF0 // experimental range, RFC 8926 section 3.5
 	optionType   = 1
-	optionHead   = 4
-	hopBodyLen   = 24
+	optionHead   = 4  // bytes before an option's body
+	hopBodyLen   = 24 // bytes
 	hopOptionLen = optionHead + hopBodyLen
 
 	flagCritical = 0x40
@@ -49,7 +49,8 @@
 	Inner  []byte
 }
 
-// Parse decodes b without allocating.
+// Parse decodes b without allocating. Options of other classes are ignored
+// unless they are marked as critical.
 func Parse(b []byte) (Datagram, error) {
 	var d Datagram
 	if len(b) < HeaderLen {
--- a/internal/geneve/hop.go
+++ b/internal/geneve/hop.go
@@ -30,12 +30,13 @@
 
 // Hop is the option that balancers add to packets between them. For an answer,
 // Target is the address of the target that sent it, since the outer source
-// address is replaced.
+// address is replaced. For a Silent it is the target that the sender has
+// recorded.
 type Hop struct {
 	Version uint8
 	Kind    Kind
 	Count   uint8 // number of balancers that passed the packet on
-	Flags   uint8
+	Flags   uint8 // bits FlagExhausted to FlagRecorded
 	Target  netip.Addr
 }
 
@@ -48,7 +49,7 @@
 	// attribute, on its way to former homes.
 	FlagFormer
 	// FlagSpilled marks a packet of a flow that another group serves. The
-	// receiver handles it as if it came from the fabric.
+	// receiver handles it as if it came from the fabric, whatever its Kind.
 	FlagSpilled
 	// FlagCrossed marks a SYN-ACK of a target other than the home's, on its
 	// way to a former home, which delivers it if it knows it and otherwise
@@ -60,7 +61,7 @@
 	// FlagAnswered marks a Silent by which a balancer reports to a flow's home
 	// that it forwarded a recent answer.
 	FlagAnswered
-	// FlagRecorded marks a target's reset of a flow that the sending balancer
+	// FlagRecorded marks a target's reset of a flow that a balancer on its way
 	// has recorded at that target.
 	FlagRecorded
 )
