--- a/internal/forward/plane.go
+++ b/internal/forward/plane.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	batchSize = 64
+	batchSize = 64 // datagrams per system call
 	// maxDatagram is the size in bytes of a receive buffer, enough for a jumbo
 	// frame with its encapsulation.
 	maxDatagram = 9216
@@ -21,7 +21,7 @@
 
 // Config holds the addresses and the number of workers of a Plane.
 type Config struct {
-	Listen  netip.AddrPort
+	Listen  netip.AddrPort // local address of all sockets
 	Fabric  netip.AddrPort // receives packets for callers
 	Sources []netip.Prefix // addresses from which the fabric sends
 	Workers int            // traffic goroutines; 0 means one per processor, at most 4
@@ -45,7 +45,7 @@
 	lastFabric                 atomic.Int64
 
 	tickMu     sync.Mutex
-	tickWorker *worker
+	tickWorker *worker // for Apply
 }
 
 // New opens the sockets. The router's times are counted from begin.
--- a/internal/forward/socket.go
+++ b/internal/forward/socket.go
@@ -39,6 +39,7 @@
 	return c, nil
 }
 
+// reusePort lets several sockets listen on the same address.
 func reusePort(_, _ string, c syscall.RawConn) error {
 	var opt error
 	err := c.Control(func(fd uintptr) {
@@ -50,6 +51,7 @@
 	return opt
 }
 
+// batch returns the batcher of c for the address family of addr.
 func batch(c *net.UDPConn, addr netip.AddrPort) batcher {
 	if addr.Addr().Is4() {
 		return ipv4.NewPacketConn(c)
--- a/internal/forward/worker.go
+++ b/internal/forward/worker.go
@@ -15,13 +15,14 @@
 type worker struct {
 	plane   *Plane
 	conn    batcher
-	in      []ipv4.Message
+	in      []ipv4.Message // receive buffers
 	send    []ipv4.Message
-	headers [][]byte
-	addrs   map[netip.AddrPort]*net.UDPAddr
+	headers [][]byte                        // Geneve headers of send
+	addrs   map[netip.AddrPort]*net.UDPAddr // reused, to send without allocating
 	out     router.Output
 }
 
+// maxCachedAddrs is the maximum number of entries of worker.addrs.
 const maxCachedAddrs = 1 << 16
 
 func newWorker(p *Plane, c *net.UDPConn) *worker {
@@ -116,6 +117,7 @@
 	}
 }
 
+// encode returns the Geneve header of an action and the address to send it to.
 func (w *worker) encode(head []byte, a *router.Action) ([]byte, netip.AddrPort) {
 	switch {
 	case w.plane.cfg.Relay.IsValid():
