--- a/internal/balance/slotrate.go
+++ b/internal/balance/slotrate.go
@@ -25,9 +25,9 @@
 // end is right while all slots are busy. The highest estimate of the last
 // seconds is used.
 //
-// When a data centre is cut off, the requests at its targets keep their
-// slots in use until it is reachable again or their flows end. For a few seconds
-// hardly any slots become free, and an estimate from those seconds alone would refuse
+// When a data centre is cut off, the requests at its targets keep their slots in
+// use until it is reachable again or their flows end. For a few seconds hardly
+// any slots become free, and an estimate from those seconds alone would refuse
 // callers who can still be admitted.
 type slotRate struct {
 	slotSeconds float64 // slots in use times seconds, decaying
