--- a/internal/router/action.go
+++ b/internal/router/action.go
@@ -24,8 +24,8 @@
 	To     Destination
 	Target netip.Addr     // for ToTarget
 	Peer   netip.AddrPort // for ToPeer
-	VNI    uint32
-	Hop    geneve.Hop
+	VNI    uint32         // for ToTarget and ToPeer: number of the service
+	Hop    geneve.Hop     // for ToPeer
 	Packet []byte
 }
 
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -44,7 +44,7 @@
 	now := tick(c.now)
 	e, ok := c.load()
 	if e.Flags&flow.Counted != 0 || c.r.openings[c.key] != nil || e.State == flow.Accepted {
-		return // decided here: only the home may change it
+		return // this balancer decided on the flow; its record stays
 	}
 	if c.storeHint(&e, ok, id) {
 		return
@@ -68,14 +68,14 @@
 	c.r.store(e)
 }
 
-// storeHint stores a hint, and returns true, if the answer does not prove that
-// its target has the flow.
+// storeHint reports whether the answer does not prove that its target has the
+// flow. Unless the flow has a record other than a hint, it then stores a hint.
 //
 // When a target's SYN-ACK is lost, it answers the retransmitted opening packet
 // with a bare acknowledgement, and the opening may then go to another target.
 // A balancer that learned the first target from that acknowledgement would
-// send the caller's payload there. A bare acknowledgement therefore counts
-// only if a later one has another number, which shows that the flow
+// send the caller's payload there. A bare acknowledgement is therefore a proof
+// only if an earlier one had another number, which shows that the flow
 // progresses.
 func (c *call) storeHint(e *flow.Entry, known bool, id uint32) bool {
 	if !c.isBareAck() {
@@ -114,6 +114,8 @@
 	c.r.store(e)
 }
 
+// answerAtHome handles a target's packet at the flow's home, or at the balancer
+// that acts as home because the packet has made openingHops hops. mu is held.
 func (c *call) answerAtHome(id uint32) {
 	e, ok := c.load()
 	ok = ok && e.State != flow.Spilled && e.State != flow.Hinted
@@ -227,7 +229,8 @@
 // its connection is established.
 func (c *call) refusesOpening() bool { return c.seg.Seq == 0 && c.seg.HasAck() }
 
-// openingRefused sends an opening that its target refused to another target.
+// openingRefused sends an opening that its target refused to another target, or
+// queues or refuses it.
 func (c *call) openingRefused(e *flow.Entry) {
 	o := c.r.openings[e.Key]
 	if o == nil {
@@ -245,8 +248,8 @@
 // has the flow.
 //
 // A reset is forwarded to the caller only if some balancer has the flow
-// recorded at that target, since it may be a candidate's rejection of another
-// balancer's probe. Other resets are passed along the flow's rendezvous order
+// recorded at that target, since it may be a candidate's answer to a probe by
+// another balancer. Other resets are passed along the flow's rendezvous order
 // to the balancer that probes.
 func (c *call) adoptAnswer(id uint32) {
 	if c.seg.IsReset() && c.hop.Flags&geneve.FlagRecorded == 0 {
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -7,9 +7,10 @@
 	"rosedale.dev/rosedale/internal/balance"
 )
 
-// SetView replaces the view. Pools get their targets, and flows whose home
-// changed to or from this balancer are counted or released. It returns the
-// flows to hand over to their new homes.
+// SetView replaces the view. Pools get their targets. Flows whose home is now
+// another balancer are released, and those whose home is now this one are
+// counted with the next packet that shows activity. It returns the flows to
+// hand over to their new homes.
 func (r *Router) SetView(now time.Duration, v *View) []Moved {
 	v.index()
 	old := r.install(now, v)
@@ -119,9 +120,9 @@
 		if p == nil {
 			continue
 		}
-		h := TargetUsage{uint32(id), p.Used(uint32(id), balance.Connection), p.Used(uint32(id), balance.Slot)}
-		if h.Connections+h.Slots > 0 {
-			out = append(out, h)
+		u := TargetUsage{uint32(id), p.Used(uint32(id), balance.Connection), p.Used(uint32(id), balance.Slot)}
+		if u.Connections+u.Slots > 0 {
+			out = append(out, u)
 		}
 	}
 	return out
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -39,7 +39,7 @@
 		r.Handle(time.Second, fabricSource, &d, out)
 	}
 	if len(out.Actions) != 1 || out.Actions[0].To != ToTarget {
-		b.Fatal("not the fast path")
+		b.Fatal("the packet did not take the fast path")
 	}
 }
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// benchmarkRecount measures SetView when one of the 55 nodes of a large data
-// centre joins or leaves, with n flows. It holds the slow path's lock.
+// benchmarkRecount measures SetView, which holds the lock of the slow path, when
+// one of the 55 nodes of a large data centre joins or leaves, with n flows.
 func benchmarkRecount(b *testing.B, n int) {
 	r, _ := newTestRouter(0, 55, 14)
 	out := &Output{}
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -5,16 +5,17 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// hopLimit is the number of balancers that may pass on one packet, whatever
-// their views.
+// hopLimit is the maximum number of balancers that may pass on one packet,
+// whatever their views.
 const hopLimit = 8
 
 const (
-	// openingHops is the number of hops of an opening packet to its home while
-	// views differ.
+	// openingHops is the number of hops after which a balancer no longer passes
+	// an opening packet, an answer or a packet of a silent flow to the home, but
+	// acts as home itself. It is reached while views differ.
 	openingHops = 2
-	// spillHops is the number of hops that an opening packet may have made
-	// before it was passed to another group.
+	// spillHops is the maximum number of hops that an opening packet may have
+	// made before it was passed to another group.
 	spillHops = 2
 )
 
@@ -108,7 +109,9 @@
 }
 
 // askNext passes the packet along the flow's rendezvous order, since the
-// balancers next in it are the most likely former or future homes.
+// balancers next in it are the most likely former or future homes. The hop
+// count determines the position in that order. After MaxAsk balancers the packet
+// returns to the home, which probes.
 func (c *call) askNext() {
 	n := int(c.hop.Count)
 	hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1}
@@ -161,9 +164,9 @@
 
 // probeAfterAsking probes the candidate targets when no balancer that was
 // asked knows the flow. A pending opening of this flow is ended if the
-// packet's numbers show that the caller already has a connection. Another
-// balancer that was not asked has delivered it then, often from the opening's
-// own target.
+// packet's numbers show that the caller already has a connection. A balancer
+// that was not asked has then delivered a SYN-ACK, often of the opening's own
+// target.
 func (c *call) probeAfterAsking(e flow.Entry, known bool) {
 	if known && !c.callerConnected(&e) {
 		c.report(DropMidOpening, &e)
@@ -187,7 +190,7 @@
 func isMarker(s flow.State) bool { return s == flow.Handed || s == flow.Hinted }
 
 // forwardByEntry handles the packet by its flow's entry. It returns false if
-// the entry does not belong to the caller's connection.
+// the entry is only a marker or does not belong to the caller's connection.
 func (c *call) forwardByEntry(e *flow.Entry) bool {
 	e.LastPacket = tick(c.now)
 	switch e.State {
@@ -268,8 +271,8 @@
 }
 
 // resetFromCaller ends a flow that its caller resets. While the target has not
-// accepted the opening, the reset may be the answer to the target's challenge
-// for an older flow; it is then forwarded and the opening stays.
+// accepted the opening, the reset may answer the target's challenge ACK for an
+// older flow; it is forwarded and the opening stays.
 func (c *call) resetFromCaller(e flow.Entry) {
 	switch e.State {
 	case flow.Queued, flow.Refused, flow.Probing:
@@ -284,7 +287,8 @@
 	c.endFlow(&e)
 }
 
-// endFlow releases a flow's load and keeps its entry for late packets.
+// endFlow releases a flow's load, keeps its entry for late packets, and admits
+// waiters if the flow was counted.
 func (c *call) endFlow(e *flow.Entry) {
 	if e.State != flow.Closing {
 		c.r.Increment(FlowEnded)
--- a/internal/router/crossed.go
+++ b/internal/router/crossed.go
@@ -6,17 +6,17 @@
 )
 
 // acceptedElsewhere ends an opening that is pending or refused here when
-// another target already has the flow, which shows by its acknowledgement of
-// the caller's first sequence numbers. It reports whether it did.
+// another target already has the flow, as its acknowledgement of the caller's
+// first sequence numbers shows. It reports whether it did.
 //
 // While views differ, another balancer may deliver that target's SYN-ACK as
 // home while this one retries at a second target. The caller then has its
 // connection at the first target. The second one never got more than the
 // opening packet and is reset. A caller with a connection ignores a refusal.
 func (c *call) acceptedElsewhere(e *flow.Entry, id uint32) bool {
-	plain := !c.seg.IsAccept() && !c.seg.IsReset() && c.seg.HasAck()
+	acknowledges := !c.seg.IsAccept() && !c.seg.IsReset() && c.seg.HasAck()
 	undecided := e.State == flow.Opening || e.State == flow.Queued || e.State == flow.Refused
-	if e.Target == id || !plain || !undecided || c.seg.Ack-e.Seq-1 >= maxUnacked {
+	if e.Target == id || !acknowledges || !undecided || c.seg.Ack-e.Seq-1 >= maxUnacked {
 		return false
 	}
 	if c.isBareAck() && c.seg.Ack == e.Seq+1 {
--- a/internal/router/decision.go
+++ b/internal/router/decision.go
@@ -14,19 +14,19 @@
 type Decision struct {
 	Reason  Reason
 	Caller  netip.AddrPort
-	Address netip.AddrPort
-	Target  netip.Addr // recorded target, or invalid
-	State   flow.State // recorded state, 0 if the flow is unknown
-	Seq     uint32     // recorded sequence number
-	Idle    time.Duration
+	Address netip.AddrPort // service address
+	Target  netip.Addr     // recorded target, or invalid
+	State   flow.State     // recorded state, 0 if the flow is unknown
+	Seq     uint32         // recorded sequence number
+	Idle    time.Duration  // since the flow's last packet
 	// The packet that led to the decision, if any: its sender, numbers and
 	// flags.
 	Sender    netip.Addr // target, or invalid if the caller sent it
 	Flags     header.TCPFlags
-	Sent      uint32
-	Ack       uint32
-	Hops      uint8
-	HasPacket bool
+	Sent      uint32 // sequence number
+	Ack       uint32 // acknowledgement number
+	Hops      uint8  // balancers that passed the packet on
+	HasPacket bool   // the fields from Sender to Hops are set
 }
 
 // report counts a decision on the current packet and adds it to the output. e
--- a/internal/router/entries.go
+++ b/internal/router/entries.go
@@ -7,7 +7,8 @@
 	"rosedale.dev/rosedale/internal/flow"
 )
 
-// uncounted marks an entry whose home this balancer became and whose load is
+// uncounted is a flag of flow.Entry that only this package uses. It marks an
+// entry whose home this balancer became and whose load is
 // not counted yet. It is counted when the next packet shows that the flow is
 // still active.
 const uncounted uint8 = 1 << 7
--- a/internal/router/failures_test.go
+++ b/internal/router/failures_test.go
@@ -37,20 +37,20 @@
 func TestUrgentGoesFirst(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 1)
 	out := &Output{}
-	var holders []netip.AddrPort
+	var slotUsers []netip.AddrPort
 	for i := range 2 {
 		c := netip.AddrPortFrom(testCaller.Addr(), uint16(1000+i))
-		holders = append(holders, c)
+		slotUsers = append(slotUsers, c)
 		fromCaller(r, time.Second, syn(c, slotAddress, 1000), out)
 		target := only(t, out, ToTarget).Target
 		fromTarget(r, time.Second, target, synAck(c, slotAddress), out)
 	}
 	fromCaller(r, time.Second, syn(netip.AddrPortFrom(testCaller.Addr(), 2000), slotAddress, 1000), out)
 	fromCaller(r, time.Second, syn(netip.AddrPortFrom(testCaller.Addr(), 2001), urgentAddr, 1000), out)
-	fin := packet.Build(slotAddress, holders[0], 5001, 1001, header.TCPFlagFin|header.TCPFlagAck, nil)
+	fin := packet.Build(slotAddress, slotUsers[0], 5001, 1001, header.TCPFlagFin|header.TCPFlagAck, nil)
 	fromTarget(r, time.Second, netip.MustParseAddr("127.10.1.1"), fin, out)
 	if len(out.Actions) != 2 {
-		t.Fatalf("actions %+v", out.Actions)
+		t.Fatalf("actions %+v, want the FIN and one opening", out.Actions)
 	}
 	if seg := parsed(t, out.Actions[1]); seg.Src.Port() != 2001 {
 		t.Fatalf("port %d was admitted first", seg.Src.Port())
@@ -71,7 +71,7 @@
 	late := func(now time.Duration) { fromTarget(r, now, first, synAck(testCaller, testAddress), out) }
 	late(1700 * time.Millisecond)
 	if len(out.Actions) != 0 || r.Count(DropLateAccept) != 1 {
-		t.Fatalf("actions %+v", out.Actions)
+		t.Fatalf("the late SYN-ACK was not dropped: %+v", out.Actions)
 	}
 	fromTarget(r, 1800*time.Millisecond, second, synAck(testCaller, testAddress), out)
 	only(t, out, ToCaller)
@@ -86,7 +86,7 @@
 		t.Fatalf("the late target got %+v", a)
 	}
 	if r.Count(DropLateAccept) != 3 || r.Count(ResetLeft) != 1 {
-		t.Fatal("not counted")
+		t.Fatal("the late SYN-ACKs or the reset were not counted")
 	}
 }
 
@@ -108,12 +108,13 @@
 		}
 	}
 	if r.Count(DropCrossedAnswer) != 2 {
-		t.Fatal("not counted")
+		t.Fatal("the crossed answers were not counted")
 	}
 }
 
-// An operator drains and removes the target of an established stream. Its
-// packets must still be forwarded to that target, and new flows must not be.
+// An operator removes the target of an established stream from the catalogue.
+// The stream's packets must still be forwarded to that target, and new flows
+// must not be.
 func TestEstablishedFlowSurvivesEdits(t *testing.T) {
 	r, v := newTestRouter(0, 1, 3)
 	out := &Output{}
@@ -144,9 +145,9 @@
 	}
 }
 
-// A packet with one service's VNI comes from another service's address, as it
-// happens when a target's address was given to another service. It must be
-// dropped.
+// An answer has a VNI other than that of the service whose address it comes
+// from, as it happens when a target's address was given to another service. It
+// must be dropped.
 func TestForeignNumberIsDropped(t *testing.T) {
 	r, v := newTestRouter(0, 1, 1)
 	out := &Output{}
@@ -156,11 +157,11 @@
 		out.Reset()
 		r.Handle(time.Second, target, &geneve.Datagram{VNI: vni, Inner: p}, out)
 		if len(out.Actions) != 0 {
-			t.Fatalf("number %d: %+v", vni, out.Actions)
+			t.Fatalf("VNI %d: %+v", vni, out.Actions)
 		}
 	}
 	if r.Count(DropForeignNumber) != 2 {
-		t.Fatal("not counted")
+		t.Fatal("the drops were not counted")
 	}
 }
 
--- a/internal/router/formerhome.go
+++ b/internal/router/formerhome.go
@@ -31,8 +31,10 @@
 	return false
 }
 
-// unexpectedAccept handles a SYN-ACK unless it comes from the recorded target
-// or its flow may be adopted. It reports whether it handled the SYN-ACK.
+// unexpectedAccept handles a SYN-ACK that does not fit the record. It returns
+// false for a SYN-ACK that answerAtHome is to handle: one of the recorded target
+// or of a target that is recorded here, one whose flow is to be adopted, and one
+// to be rejected.
 func (c *call) unexpectedAccept(e *flow.Entry, ok bool, id uint32) bool {
 	switch {
 	case !ok && c.askFormerHome(id, c.hop.Flags):
@@ -60,11 +62,11 @@
 }
 
 // forwardHandedAccept passes a SYN-ACK for an opening that was handed over to
-// its new home, which may not get it otherwise: between two balancers that
-// take each other for the home, the hop limit ends it here.
+// the new home, which may not get it otherwise: while each of two balancers
+// considers the other one the home, the SYN-ACK reaches openingHops here.
 func (c *call) forwardHandedAccept(e *flow.Entry, id uint32) {
 	if c.isHome() || c.hop.Flags&geneve.FlagFormer != 0 {
-		c.report(DropLateAccept, e) // its home has already seen it
+		c.report(DropLateAccept, e) // the flow's home has already handled it
 		return
 	}
 	c.r.Increment(HomeForwarded)
@@ -73,7 +75,8 @@
 }
 
 // forwardCrossedAccept passes a SYN-ACK of a target other than the home's to
-// the former home, which may have delivered it to the caller.
+// the former home, which may have delivered it to the caller. It returns false
+// if there is none to ask, or if the caller is known to be connected elsewhere.
 func (c *call) forwardCrossedAccept(e *flow.Entry, id uint32) bool {
 	if o := c.r.openings[c.key]; o != nil {
 		o.exclude(id)
@@ -84,18 +87,18 @@
 	return c.askFormerHome(id, geneve.FlagCrossed)
 }
 
-// askFormerHome passes a SYN-ACK that the home does not know, or with
-// FlagCrossed one of a target other than the home's, along the flow's
-// rendezvous order to former homes. The first balancer that knows it decides.
-// It returns false if there is none to ask.
+// askFormerHome passes a SYN-ACK or reset of a flow that the home does not know,
+// or with FlagCrossed a SYN-ACK of a target other than the home's, along the
+// flow's rendezvous order to former homes. The first balancer that knows the
+// flow decides. It returns false if there is none to ask.
 //
 // When the home changes during an opening, the former home may still wait for
 // this SYN-ACK and would otherwise reset the target and retry at another one.
 // It may also have done so already; delivering the late SYN-ACK would then
-// give the caller a connection that the target is about to lose. Either way a
-// connection that was just accepted is reset, and only the former home can
-// tell the two cases apart. If the former home died, the target's next SYN-ACK
-// comes after its death is known and goes to the next balancer in the order.
+// give the caller a connection that the target is about to lose. In both cases
+// a connection that was just accepted would be reset, and only the former home
+// can tell them apart. If the former home died, the target's next SYN-ACK
+// arrives after it was marked dead and goes to the next balancer in the order.
 //
 // The same applies if a retransmitted opening packet reached the new home
 // before the handover and the two homes chose different targets: the former
@@ -157,8 +160,8 @@
 //
 // A target may refuse one copy of an opening packet and accept another, or
 // another home may have sent it there. Rejecting the SYN-ACK would reset a
-// connection that the caller waits for. It is taken if the target has room and
-// was not excluded.
+// connection that the caller waits for. The target is therefore recorded if it
+// has room and was not excluded.
 //
 // While views differ, two homes may have the opening in their queues, and the
 // SYN-ACK may reach the one without room first. If the other one, which has
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// fuzzStep is the length of one encoded event.
+// fuzzStep is the length in bytes of one encoded event.
 const fuzzStep = 8
 
 // fuzzEvent applies one event to r: a packet of a caller, a target or a
@@ -62,9 +62,9 @@
 			fuzzEvent(r, v, now, b, out)
 			checkActions(t, v, out)
 		}
-		for _, h := range r.Usage() {
-			if h.Slots < 0 || h.Connections < 0 {
-				t.Fatalf("usage %+v with %d flows", h, r.Flows())
+		for _, u := range r.Usage() {
+			if u.Slots < 0 || u.Connections < 0 {
+				t.Fatalf("usage %+v with %d flows", u, r.Flows())
 			}
 		}
 	})
@@ -74,13 +74,13 @@
 	t.Helper()
 	for _, a := range out.Actions {
 		if len(a.Packet) == 0 {
-			t.Fatalf("an empty packet: %+v", a)
+			t.Fatalf("an empty packet was sent: %+v", a)
 		}
 		if a.To != ToTarget {
 			continue
 		}
 		if _, ok := v.TargetIDs[TargetKey{a.VNI, a.Target}]; !ok {
-			t.Fatalf("sent to %s under %d", a.Target, a.VNI)
+			t.Fatalf("sent to the unknown target %s with VNI %d", a.Target, a.VNI)
 		}
 	}
 }
--- a/internal/router/group_test.go
+++ b/internal/router/group_test.go
@@ -18,15 +18,15 @@
 	r := New(Settings{MaxFlows: 1024, AliveInterval: time.Second})
 	r.SetView(0, v)
 	out := &Output{}
-	home := testCaller
-	for p := uint16(1); v.home(v.Addresses[testAddress].streamHomeKey(home), false) != 0; p++ {
-		home = netip.AddrPortFrom(testCaller.Addr(), p)
+	caller := testCaller
+	for p := uint16(1); v.home(v.Addresses[testAddress].streamHomeKey(caller), false) != 0; p++ {
+		caller = netip.AddrPortFrom(testCaller.Addr(), p)
 	}
 	r.Alive(time.Second)
-	fromCaller(r, 1500*time.Millisecond, syn(home, testAddress, 1), out)
+	fromCaller(r, 1500*time.Millisecond, syn(caller, testAddress, 1), out)
 	only(t, out, ToTarget)
-	home = netip.AddrPortFrom(home.Addr().Next(), home.Port())
-	fromCaller(r, 10*time.Second, syn(home, testAddress, 1), out)
+	caller = netip.AddrPortFrom(caller.Addr().Next(), caller.Port())
+	fromCaller(r, 10*time.Second, syn(caller, testAddress, 1), out)
 	if a := only(t, out, ToPeer); a.Hop.Kind != geneve.Opening {
 		t.Fatalf("sent %+v", a)
 	}
@@ -47,8 +47,8 @@
 	svc.Targets[0].Eligible = false
 	svc.SpillTo = []string{"annex-b"}
 	v.Services[testService] = svc
-	far := Node{Name: "annex-b-1", Data: netip.MustParseAddrPort("127.12.0.1:6081"), Seed: 5, Serving: true}
-	v.Remotes = map[string][]Node{"annex-b": {far}}
+	remote := Node{Name: "annex-b-1", Data: netip.MustParseAddrPort("127.12.0.1:6081"), Seed: 5, Serving: true}
+	v.Remotes = map[string][]Node{"annex-b": {remote}}
 	r := New(Settings{MaxFlows: 1024, AliveInterval: time.Hour})
 	r.SetView(0, v)
 	out := &Output{}
@@ -56,12 +56,12 @@
 	for _, p := range [][]byte{syn(testCaller, testAddress, 1000), syn(testCaller, testAddress, 1000), ack} {
 		fromCaller(r, time.Second, p, out)
 		a := only(t, out, ToPeer)
-		if a.Peer != far.Data || a.Hop.Flags&geneve.FlagSpilled == 0 {
+		if a.Peer != remote.Data || a.Hop.Flags&geneve.FlagSpilled == 0 {
 			t.Fatalf("sent %+v", a)
 		}
 	}
 	if r.Count(FlowSpilled) != 1 {
-		t.Fatalf("counted %d", r.Count(FlowSpilled))
+		t.Fatalf("%d spilled flows are counted, want 1", r.Count(FlowSpilled))
 	}
 	// The other group passes the packet to the flow's home as if it came from
 	// the fabric, whatever its hop count.
@@ -91,16 +91,16 @@
 	out := &Output{}
 	target := v.Targets[1].Addr
 	fromTarget(r, time.Second, target, packet.Build(slotAddress, testCaller, 5001, 1010, header.TCPFlagAck, []byte("answer")), out)
-	left := testView(other, 2, 1)
-	left.Nodes[1-other].Serving = false
-	r.SetView(time.Second, left)
+	after := testView(other, 2, 1)
+	after.Nodes[1-other].Serving = false
+	r.SetView(time.Second, after)
 	fin := packet.Build(testCaller, slotAddress, 1010, 5008, header.TCPFlagFin|header.TCPFlagAck, nil)
 	fromCaller(r, time.Second, fin, out)
 	only(t, out, ToTarget)
 	fromTarget(r, time.Second, target, packet.Build(slotAddress, testCaller, 5008, 1011, header.TCPFlagAck, nil), out)
 	only(t, out, ToCaller)
-	if h := r.Usage(); len(h) != 0 {
-		t.Fatalf("usage: %+v", h)
+	if u := r.Usage(); len(u) != 0 {
+		t.Fatalf("usage %+v, want none", u)
 	}
 }
 
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -16,7 +16,7 @@
 	Caller  netip.AddrPort
 	Address netip.AddrPort
 	Target  netip.Addr
-	Seq     uint32
+	Seq     uint32 // as in flow.Entry
 	State   flow.State
 	Wait    time.Duration // time left until the admission deadline
 	Opening []byte
@@ -28,9 +28,10 @@
 	// change, at about 60 bytes each. Openings and slots have their own
 	// limits.
 	maxMovedStreams = 4096
-	// knownAnswers is the number of answers forwarded by the home from which
-	// several other balancers are assumed to have forwarded some as well, so
-	// that the flow needs no handover.
+	// knownAnswers is a number of answers. A flow of which the home has
+	// forwarded at least as many needs no handover, since several other
+	// balancers are assumed to have forwarded some as well and to have learned
+	// it.
 	knownAnswers = 3
 )
 
@@ -56,20 +57,22 @@
 	return out
 }
 
+// recountOne is recount for one entry. It returns true if its flow is to be
+// handed over.
 func (r *Router) recountOne(now time.Duration, v *View, e *flow.Entry, streams *int) (Moved, bool) {
 	a, ok := v.addressByID(e.Key.Address)
 	if !ok || e.State == flow.Handed || e.State == flow.Spilled {
 		return Moved{}, false
 	}
-	fh := hashFlow(e.Key.CallerAddr(), a.addr)
-	home := v.home(a.homeKey(fh), false)
+	flowHash := hashFlow(e.Key.CallerAddr(), a.addr)
+	home := v.home(a.homeKey(flowHash), false)
 	if home == v.Self {
 		if isLive(e.State) && e.Flags&flow.Counted == 0 {
 			e.Flags |= uncounted
 		}
 		return Moved{}, false
 	}
-	m, ok := r.describeMoved(now, v, e, a, fh, streams)
+	m, ok := r.describeMoved(now, v, e, a, flowHash, streams)
 	m.Home = home
 	r.release(e, a.Service, a.Unit())
 	if o := r.openings[e.Key]; o != nil {
@@ -85,7 +88,9 @@
 	return s == flow.Open || s == flow.Learned || s == flow.Accepted
 }
 
-func (r *Router) describeMoved(now time.Duration, v *View, e *flow.Entry, a serviceAddress, fh uint64, streams *int) (Moved, bool) {
+// describeMoved returns the state of a flow whose home is now another balancer,
+// and whether it is to be handed over.
+func (r *Router) describeMoved(now time.Duration, v *View, e *flow.Entry, a serviceAddress, flowHash uint64, streams *int) (Moved, bool) {
 	m := Moved{Caller: e.Key.CallerAddr(), Address: a.addr, Seq: e.Seq, State: e.State}
 	if e.Target != 0 {
 		m.Target = v.Targets[e.Target].Addr
@@ -106,7 +111,7 @@
 	}
 	first := uint32(0)
 	if p := r.pools[a.Service]; p != nil {
-		first = p.First(fh)
+		first = p.First(flowHash)
 	}
 	if e.Answers >= knownAnswers || e.Target == first || *streams >= maxMovedStreams {
 		return m, false
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -61,6 +61,7 @@
 	return v
 }
 
+// newTestRouter returns a router with the view of testView.
 func newTestRouter(self, nodes, targets int) (*Router, *View) {
 	r := New(Settings{MaxFlows: 1 << 22, AliveInterval: time.Hour, MaxOpenings: 1 << 20})
 	v := testView(self, nodes, targets)
@@ -68,11 +69,13 @@
 	return r, v
 }
 
+// fromCaller handles a caller's packet that comes from the fabric.
 func fromCaller(r *Router, now time.Duration, p []byte, out *Output) {
 	out.Reset()
 	r.Handle(now, fabricSource, &geneve.Datagram{Inner: p}, out)
 }
 
+// fromTarget handles a packet of a target of testService.
 func fromTarget(r *Router, now time.Duration, target netip.Addr, p []byte, out *Output) {
 	out.Reset()
 	r.Handle(now, target, &geneve.Datagram{VNI: testService, Inner: p}, out)
@@ -82,6 +85,7 @@
 	return packet.Build(from, to, seq, 0, header.TCPFlagSyn, nil)
 }
 
+// synAck returns the answer to syn(from, to, 1000).
 func synAck(from, to netip.AddrPort) []byte {
 	return packet.Build(to, from, 5000, 1001, header.TCPFlagSyn|header.TCPFlagAck, nil)
 }
@@ -105,6 +109,7 @@
 	return target
 }
 
+// only returns the single action in out, which must have the given destination.
 func only(t *testing.T, out *Output, to Destination) Action {
 	t.Helper()
 	if len(out.Actions) != 1 || out.Actions[0].To != to {
--- a/internal/router/inspect.go
+++ b/internal/router/inspect.go
@@ -20,9 +20,9 @@
 	State    string         `json:"state"`
 	Home     string         `json:"home"`
 	IdleMS   int64          `json:"idleMs"`
-	Counted  bool           `json:"counted"`
-	Answers  int            `json:"answers"`
-	HandOver bool           `json:"handedOver"`
+	Counted  bool           `json:"counted"`    // in its target's load at this balancer
+	Answers  int            `json:"answers"`    // forwarded by this balancer, at most 255
+	HandOver bool           `json:"handedOver"` // received from the previous home
 }
 
 // FlowList returns up to limit flows for which keep returns true.
@@ -67,9 +67,9 @@
 	IsHome    bool            `json:"isHome"` // whether this balancer is the flow's home, whose counts decide
 	Choice    string          `json:"choice"`
 	Why       string          `json:"why"`
-	Waiting   int             `json:"waiting"`
+	Waiting   int             `json:"waiting"` // openings in the service's queue
 	Targets   []TargetExplain `json:"targets"`
-	Withdrawn bool            `json:"withdrawn"`
+	Withdrawn bool            `json:"withdrawn"` // no longer in the catalogue
 }
 
 // TargetExplain is the state of one target in an Explanation.
@@ -78,13 +78,13 @@
 	DataCenter string  `json:"dataCenter"`
 	Eligible   bool    `json:"eligible"`
 	Candidate  int     `json:"candidate"` // position in the flow's rendezvous order, from 1
-	Load       float64 `json:"load"`
-	Limit      int     `json:"limit"`
+	Load       float64 `json:"load"`      // estimate, in connections or slots
+	Limit      int     `json:"limit"`     // in connections or slots
 	Note       string  `json:"note"`
 }
 
 // Explain returns the target that a new flow of caller to address would get if
-// this balancer decided now. It changes nothing. It returns false if the
+// this balancer decided now, without recording a flow. It returns false if the
 // address is unknown.
 func (r *Router) Explain(now time.Duration, caller, address netip.AddrPort) (Explanation, bool) {
 	v := r.view.Load()
@@ -92,8 +92,8 @@
 	if !ok {
 		return Explanation{}, false
 	}
-	fh := hashFlow(caller, address)
-	home := v.home(a.homeKey(fh), r.controlStalled(now))
+	flowHash := hashFlow(caller, address)
+	home := v.home(a.homeKey(flowHash), r.controlStalled(now))
 	x := Explanation{
 		Service:   v.Services[a.Service].Name,
 		Address:   address,
@@ -109,7 +109,7 @@
 		return x, true
 	}
 	x.Waiting = p.Queue.Len()
-	ex := p.Explain(now, a.Unit(), fh)
+	ex := p.Explain(now, a.Unit(), flowHash)
 	for _, t := range ex.Targets {
 		info := v.Targets[t.ID]
 		x.Targets = append(x.Targets, TargetExplain{
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -15,18 +15,18 @@
 	packet    []byte
 	addr      Address
 	flowHash  uint64
-	tried     []uint32 // targets already tried
-	excluded  []uint32 // of these, targets never to be tried again
-	tries     int
+	tried     []uint32      // targets tried; only excluded once all with room were
+	excluded  []uint32      // of these, targets never to be tried again
+	tries     int           // attempts so far, at most MaxTries
 	notBefore time.Duration // earliest next attempt
-	sentAt    time.Duration
-	deadline  time.Duration
-	resent    bool
+	sentAt    time.Duration // last time sent to a target
+	deadline  time.Duration // of admission
+	resent    bool          // sent again to the same target
 }
 
 // exclude keeps the opening away from a target that was tried and will be
 // reset when its SYN-ACK arrives. Otherwise that reset could arrive after a
-// second opening packet and end the connection that it opened.
+// second opening packet and end the connection that this packet opened.
 func (o *opening) exclude(id uint32) {
 	o.tried = append(o.tried, id)
 	o.excluded = append(o.excluded, id)
@@ -49,7 +49,7 @@
 			c.openingRetransmitted(&e)
 			return
 		}
-		// The caller gave up and opens a new connection from the same port.
+		// The caller opens a new connection from the same port.
 		c.abandon(&e)
 	case flow.Refused:
 		if e.Seq == c.seg.Seq {
@@ -96,6 +96,8 @@
 	c.out.sendToTarget(c.v, e.Target, c.seg.Raw)
 }
 
+// openNew handles the opening packet of a flow without an entry: it is refused,
+// spilled to another group, sent to a target or queued.
 func (c *call) openNew() {
 	p := c.r.pools[c.addr.Service]
 	switch {
@@ -164,6 +166,7 @@
 // queue. This holds for retries.
 func (o *opening) mayOvertake() bool { return len(o.tried) > 0 }
 
+// dispatch sends an opening to target id and counts it there.
 func (r *Router) dispatch(now time.Duration, v *View, e *flow.Entry, o *opening, id uint32, out *Output) {
 	e.Target = id
 	e.State = flow.Opening
@@ -177,6 +180,8 @@
 	out.sendToTarget(v, id, o.packet)
 }
 
+// enqueue queues an opening, or refuses it if the queue is full. An urgent one
+// may displace another opening, which is refused.
 func (r *Router) enqueue(now time.Duration, e *flow.Entry, o *opening, out *Output) {
 	p := r.pools[o.addr.Service]
 	e.State = flow.Queued
@@ -190,13 +195,13 @@
 		Deadline:  o.deadline,
 		NotBefore: o.notBefore,
 	}
-	displaced, did, ok := p.Queue.Push(w)
+	displaced, isDisplaced, ok := p.Queue.Push(w)
 	if !ok {
 		r.refuse(now, e.Key, RefuseQueueFull, out)
 		return
 	}
 	r.report(now, OpeningQueued, e, out)
-	if did {
+	if isDisplaced {
 		r.refuse(now, displaced.Key, RefuseDisplaced, out)
 	}
 	r.refuseLate(now, p, out)
@@ -267,6 +272,8 @@
 	}
 }
 
+// admitOne admits the next waiter for unit u. It returns false if no waiter can
+// be admitted.
 func (r *Router) admitOne(now time.Duration, v *View, p *pool, u balance.Unit, out *Output) bool {
 	w, ok := p.Queue.Next(now, u)
 	if !ok {
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -12,7 +12,7 @@
 const (
 	// maxProbes is the maximum number of flows that are probed at a time.
 	maxProbes = 4096
-	// probeExpiry is the age at which an unanswered probe is given up.
+	// probeExpiry is the age at which a probe is deleted.
 	probeExpiry = 30 * time.Second
 )
 
@@ -20,7 +20,7 @@
 // flow.
 type probe struct {
 	packet     []byte
-	ack        uint32 // acknowledgement number of packet, which the target continues with
+	ack        uint32 // acknowledgement number of packet: the target's next sequence number
 	candidates []uint32
 	startedAt  time.Duration
 }
@@ -100,8 +100,8 @@
 // with the numbers that the caller acknowledged. It reports whether it did.
 // The candidate's rejection may have gone to a balancer that does not probe.
 func (c *call) answeredByOther(e *flow.Entry, id uint32) bool {
-	plain := !c.seg.IsAccept() && !c.seg.IsReset() && !c.isBareAck()
-	if e.State != flow.Probing || e.Target == id || !plain || !c.answersProbe(e) {
+	hasData := !c.seg.IsAccept() && !c.seg.IsReset() && !c.isBareAck()
+	if e.State != flow.Probing || e.Target == id || !hasData || !c.answersProbe(e) {
 		return false
 	}
 	delete(c.r.probes, e.Key)
@@ -133,9 +133,10 @@
 // reset to the caller, so that it reconnects instead of hanging.
 //
 // When a data centre is cut off, the fabric may still distribute packets over
-// both parts, and this part must not reset a flow whose target is in the other
-// one. While a whole data centre is unreachable the packet is dropped instead:
-// the caller's next one may reach the flow's own balancers.
+// both parts of the network, and the balancers of this part must not reset a
+// flow whose target is in the other one. While a whole data centre is
+// unreachable the reset is dropped instead: the caller's next packet may reach
+// a balancer that knows the flow.
 func (c *call) rejectUnknown() {
 	if c.v.Partial {
 		c.report(DropUnknownFlow, nil)
--- a/internal/router/probe_test.go
+++ b/internal/router/probe_test.go
@@ -61,7 +61,7 @@
 }
 
 // A candidate with a half-open connection of the same caller answers the probe
-// with a bare acknowledgement. It must not be taken for the flow's target.
+// with a bare acknowledgement. It must not be recorded as the flow's target.
 func TestBareAcknowledgementEndsNoProbe(t *testing.T) {
 	r, v := newTestRouter(0, 1, 2)
 	out := &Output{}
@@ -71,7 +71,7 @@
 	bare := packet.Build(testAddress, testCaller, 5001, 1001, header.TCPFlagAck, nil)
 	fromTarget(r, time.Second, probed, bare, out)
 	if len(out.Actions) != 0 || r.Count(DropCrossedAnswer) != 1 {
-		t.Fatalf("actions %+v", out.Actions)
+		t.Fatalf("the bare acknowledgement was not dropped: %+v", out.Actions)
 	}
 	reset := packet.Build(testAddress, testCaller, 1<<30, 0, header.TCPFlagRst, nil)
 	fromTarget(r, time.Second, probed, reset, out)
@@ -104,7 +104,7 @@
 	passed(home, time.Second, v.Nodes[1].Data.Addr(), only(t, out, ToPeer).Hop, rejection, out)
 	expectDropped()
 	if other.Count(DropUnknownReset) != 2 {
-		t.Error("not counted")
+		t.Error("the dropped resets were not counted")
 	}
 	answer := packet.Build(testAddress, c, 5001, 1005, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
 	fromTarget(other, 2*time.Second, from, answer, out) // which shows that the target had the flow
@@ -113,8 +113,8 @@
 	only(t, out, ToCaller)
 }
 
-// probing returns a balancer that takes itself for a flow's home and probes
-// for its target, with the current candidate and the probed packet.
+// probing returns a balancer that considers itself a flow's home and probes for
+// its target, with the current candidate and the probed packet.
 func probing(t *testing.T, v *View, c netip.AddrPort) (*Router, netip.Addr, []byte) {
 	t.Helper()
 	r, _ := newTestRouter(1, 2, 2)
@@ -188,7 +188,7 @@
 // A candidate's reset reaches the home, which has the flow at another target,
 // while another balancer probes. The home must send a correction, or the probe
 // would stay with that candidate.
-func TestHomeTellsTheBalancerThatProbes(t *testing.T) {
+func TestHomeCorrectsTheBalancerThatProbes(t *testing.T) {
 	home, v := newTestRouter(0, 2, 2)
 	out := &Output{}
 	c := callerOf(v, 0)
--- a/internal/router/reason.go
+++ b/internal/router/reason.go
@@ -9,72 +9,73 @@
 // an event of a flow. Each has a counter.
 type Reason uint8
 
-// The reasons. Refuse reasons are those for which an opening packet was
-// answered with a reset.
+// The reasons. For a Drop reason a packet was discarded, for a Refuse reason an
+// opening packet was answered with a reset, and for a Retry reason an opening or
+// a probe continues.
 const (
-	DropGeneveShort Reason = iota
-	DropGeneveVersion
-	DropGeneveProtocol
-	DropGeneveOption
-	DropGeneveCritical
-	DropPacketShort
-	DropPacketVersion
-	DropPacketLength
-	DropPacketFragment
-	DropPacketProtocol
-	DropPacketTCP
-	DropForeignSource
-	DropForeignNumber
-	DropForeignTarget
-	DropUnknownAddress
-	DropHopLimit
-	DropHopKind
-	DropTableFull
-	DropOpeningRepeated
-	DropMidOpening
-	DropUnknownReset
-	DropUnknownFlow
-	DropProbeLimit
-	DropCrossedAnswer
-	DropLateAccept
-	DropLateRefusal
-	RefuseNoTarget
-	RefuseQueueFull
-	RefuseDisplaced
-	RefuseDeadline
-	RefuseTooLate
-	RefuseUnanswered
-	RefuseRetryLimit
-	RefusePayload
-	RefuseWithdrawn
-	RefuseOpeningLimit
-	RetryShed
-	RetryTimeout
-	RetryProbe
-	RetryDelayed
-	OpeningQueued
-	OpeningResent
-	OpeningForgotten
-	ResetSilent
-	ResetUnknown
-	ResetAbandoned
-	ResetLeft
-	ResetByTarget
-	ResetByCaller
-	FlowOpened
-	FlowAdopted
-	FlowLearned
-	FlowCorrected
-	FlowCrossed
-	FlowExpired
-	FlowEnded
-	FlowHandedOver
-	FlowSpilled
-	HomeForwarded
-	AskForwarded
-	AskSilent
-	SilentRepeated
-	SilenceObjected
+	DropGeneveShort     Reason = iota // geneve.ErrShort
+	DropGeneveVersion                 // geneve.ErrVersion
+	DropGeneveProtocol                // geneve.ErrProtocol
+	DropGeneveOption                  // geneve.ErrOption
+	DropGeneveCritical                // geneve.ErrCritical
+	DropPacketShort                   // packet.ErrShort
+	DropPacketVersion                 // packet.ErrVersion
+	DropPacketLength                  // packet.ErrLength
+	DropPacketFragment                // packet.ErrFragment
+	DropPacketProtocol                // packet.ErrProtocol
+	DropPacketTCP                     // packet.ErrTCP
+	DropForeignSource                 // hop option not from a peer, or caller's packet not from the fabric
+	DropForeignNumber                 // answer with a VNI that no service has
+	DropForeignTarget                 // answer or hop option with an unknown target
+	DropUnknownAddress                // not a service address, or another service's
+	DropHopLimit                      // passed on by hopLimit balancers
+	DropHopKind                       // hop option of an unknown kind
+	DropTableFull                     // no room for the flow in the table
+	DropOpeningRepeated               // retransmission of an opening that is queued or handed over
+	DropMidOpening                    // caller's packet of a flow whose opening is pending or refused
+	DropUnknownReset                  // reset of a flow that is unknown or has no connection
+	DropUnknownFlow                   // no target or balancer found for the flow
+	DropProbeLimit                    // too many probes, or too many per second
+	DropCrossedAnswer                 // answer that does not fit the record
+	DropLateAccept                    // SYN-ACK that does not fit the record
+	DropLateRefusal                   // refusal of an opening that was accepted
+	RefuseNoTarget                    // the service has no targets
+	RefuseQueueFull                   // the service's queue is full
+	RefuseDisplaced                   // displaced in the queue by an urgent opening
+	RefuseDeadline                    // still queued at the deadline
+	RefuseTooLate                     // not expected to be admitted before the deadline
+	RefuseUnanswered                  // left unanswered until the deadline
+	RefuseRetryLimit                  // refused by its target after MaxTries attempts
+	RefusePayload                     // opening packet with payload
+	RefuseWithdrawn                   // address no longer in the catalogue
+	RefuseOpeningLimit                // MaxOpenings are pending
+	RetryShed                         // retried after a refusal by the target
+	RetryTimeout                      // retried after OpenTimeout
+	RetryProbe                        // probed packet sent to a candidate
+	RetryDelayed                      // queued, as the retry budget is spent
+	OpeningQueued                     // queued until a target has room
+	OpeningResent                     // sent again to the same target
+	OpeningForgotten                  // deleted, as another balancer is the home
+	ResetSilent                       // both ends were reset, as the flow is silent
+	ResetUnknown                      // the caller was reset, as no candidate has the flow
+	ResetAbandoned                    // the target of an abandoned opening was reset
+	ResetLeft                         // a target was reset whose SYN-ACK came too late
+	ResetByTarget                     // the target reset the flow
+	ResetByCaller                     // the caller reset the flow
+	FlowOpened                        // accepted by the target
+	FlowAdopted                       // recorded by a home that did not open it
+	FlowLearned                       // recorded from a forwarded answer
+	FlowCorrected                     // target replaced by the home's
+	FlowCrossed                       // record deleted, as the caller is connected to another target
+	FlowExpired                       // idle entry deleted
+	FlowEnded                         // ended by a FIN or reset
+	FlowHandedOver                    // received from the previous home
+	FlowSpilled                       // passed to another group
+	HomeForwarded                     // packet passed to the home
+	AskForwarded                      // packet passed along the rendezvous order
+	AskSilent                         // peers were asked about a flow that may be silent
+	SilentRepeated                    // segment retransmitted by the home
+	SilenceObjected                   // a peer has forwarded a recent answer of the flow
 	reasonCount
 )
 
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -42,7 +42,7 @@
 	}
 	fromCaller(r, 3200*time.Millisecond, syn(testCaller, slotAddress, 1000), out)
 	if seg := parsed(t, only(t, out, ToCaller)); !seg.IsReset() {
-		t.Fatal("a repeated opening packet was not refused")
+		t.Fatal("a retransmitted opening packet was not refused")
 	}
 }
 
@@ -52,15 +52,15 @@
 func TestUnansweredRefusalFreesItsOwnSlot(t *testing.T) {
 	r, _ := newTestRouter(0, 1, 1)
 	out := &Output{}
-	holder := netip.AddrPortFrom(testCaller.Addr(), 1000)
-	fromCaller(r, time.Second, syn(holder, slotAddress, 1000), out)
-	fromTarget(r, time.Second, only(t, out, ToTarget).Target, synAck(holder, slotAddress), out)
+	slotUser := netip.AddrPortFrom(testCaller.Addr(), 1000)
+	fromCaller(r, time.Second, syn(slotUser, slotAddress, 1000), out)
+	fromTarget(r, time.Second, only(t, out, ToTarget).Target, synAck(slotUser, slotAddress), out)
 	fromCaller(r, time.Second, syn(testCaller, slotAddress, 1000), out)
 	for ms := 1600; ms <= 4000; ms += 600 {
 		r.Tick(time.Duration(ms)*time.Millisecond, out)
 	}
 	if r.Count(RefuseUnanswered) != 1 {
-		t.Fatal("not refused")
+		t.Fatal("the unanswered opening was not refused")
 	}
 	if n := r.pools[testService].Used(1, balance.Slot); n != 1 {
 		t.Fatalf("%d slots are counted, one is in use", n)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -199,6 +199,7 @@
 	}
 	e.LastPacket = tick(c.now)
 	id := e.Target
+	// The home checks whether a flow without recent answers is silent.
 	quiet := c.seg.PayloadLen > 0 && e.State != flow.Closing && e.LastPacket-e.LastAnswer > quietTicks
 	s.Unlock()
 	if quiet {
@@ -287,7 +288,7 @@
 }
 
 // answeredResolution is the resolution of Target.Answered. It keeps traffic
-// goroutines from writing the same word for every packet.
+// goroutines from writing to the same memory for every packet.
 const answeredResolution = int64(50 * time.Millisecond)
 
 func (c *call) recordAnswerTime(id uint32) {
@@ -297,6 +298,7 @@
 	}
 }
 
+// findHome sets the flow's hash and home.
 func (c *call) findHome(caller, address netip.AddrPort) {
 	c.flowHash = hashFlow(caller, address)
 	c.home = c.v.home(c.addr.homeKey(c.flowHash), c.r.controlStalled(c.now))
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// quietTicks is the time without an answer at this balancer after which it
-	// passes a caller's payload through the flow's home, which compares the
-	// observations of all balancers.
+	// quietTicks is the time in ticks without an answer at this balancer after
+	// which it passes a caller's payload through the flow's home, which compares
+	// the observations of all balancers.
 	quietTicks = uint32(2 * time.Second / flow.TickLength)
 	// minCallerCopies is the number of copies of one segment from the caller
 	// after which the home retransmits it as well.
@@ -25,9 +25,12 @@
 	retransmitInterval = 300 * time.Millisecond
 	// objectionWait is the time for other balancers to report a recent answer.
 	objectionWait = 300 * time.Millisecond
-	// minSilentPayload excludes keepalive and window probes, which repeat a
+	// minSilentPayload is the minimum payload in bytes of the segments that are
+	// observed. It excludes keepalive and window probes, which repeat a
 	// sequence number although they are answered.
-	minSilentPayload   = 2
+	minSilentPayload = 2
+	// maxRetransmissions is the maximum number of flows whose segments are
+	// observed at a time.
 	maxRetransmissions = 1 << 14
 	// maxSuspects is the maximum number of flows of which a home retransmits
 	// segments at a time.
@@ -47,7 +50,7 @@
 }
 
 // silentAtHome handles a packet of a flow that another balancer knows but has
-// seen no recent answer of. mu is not held.
+// forwarded no recent answer of. mu is not held.
 func (c *call) silentAtHome() {
 	if !c.isHome() && c.hop.Count < openingHops {
 		c.forwardToHome()
@@ -157,7 +160,8 @@
 	}
 }
 
-// reportRecentAnswer tells a flow's home that its target answered recently.
+// reportRecentAnswer reports to a flow's home that the target answered recently,
+// if this balancer has forwarded such an answer.
 func (c *call) reportRecentAnswer() {
 	e, ok := c.load()
 	if !ok || c.isHome() || e.Target != c.v.TargetIDs[TargetKey{c.addr.Service, c.hop.Target}] {
@@ -185,7 +189,8 @@
 	delete(c.r.suspects, c.key)
 }
 
-// retransmitSuspects retransmits the segments of flows that may be silent.
+// retransmitSuspects retransmits the segments of flows that may be silent, from
+// half of SilentAfter on.
 func (r *Router) retransmitSuspects(now time.Duration, v *View, out *Output) {
 	var due []flow.Key
 	for k, s := range r.suspects {
--- a/internal/router/silent_test.go
+++ b/internal/router/silent_test.go
@@ -69,8 +69,8 @@
 	return n
 }
 
-// suspected returns a router that has received one segment of a flow twice, 4
-// s apart, from another balancer, and no answer. The flow's target has
+// suspected returns a router that has received one segment of a flow twice,
+// with 4 s between, from another balancer, and no answer. The flow's target has
 // answered another flow since.
 func suspected(t *testing.T) (*Router, *View, netip.Addr) {
 	t.Helper()
@@ -152,18 +152,18 @@
 // A target's answer is lost between the balancer and the caller, which
 // retransmits its request seconds later. The request arrives through a
 // balancer that has not learned the flow, so that the home sees both copies.
-// The home must not take the flow's own answer for one to another flow and
-// reset both ends. The wrong reset came 3.1 s after the request.
+// The home must not mistake the flow's own answer for one to another flow and
+// reset both ends, which would happen 3.1 s after the request.
 func TestAnsweredFlowIsNotSilent(t *testing.T) {
 	r, v := newTestRouter(0, 2, 1)
 	out := &Output{}
 	target := open(r, v, time.Second, testCaller, out)
-	asked := func(now time.Duration) { requestFromPeer(r, v, now, out) }
-	asked(4 * time.Second)
+	request := func(now time.Duration) { requestFromPeer(r, v, now, out) }
+	request(4 * time.Second)
 	answer := packet.Build(testAddress, testCaller, 5001, 1004, header.TCPFlagAck|header.TCPFlagPsh, []byte("done"))
 	fromTarget(r, 4*time.Second+5*time.Millisecond, target, answer, out)
 	only(t, out, ToCaller) // lost on its way
-	asked(8 * time.Second)
+	request(8 * time.Second)
 	only(t, out, ToTarget)
 	if n := r.Count(ResetSilent); n > 0 {
 		t.Errorf("%d resets of a flow that was answered", n)
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -168,6 +168,7 @@
 	return false
 }
 
+// idle returns the time for which an entry without packets is kept.
 func (r *Router) idle(e *flow.Entry) time.Duration {
 	switch e.State {
 	case flow.Closing, flow.Refused, flow.Handed:
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -15,7 +15,11 @@
 
 // View is a balancer's knowledge of its group and of the catalogue. The
 // control loop publishes a new View for each change; a published View is not
-// modified.
+// modified. Changes reach the balancers at different times, so that for a while
+// their views may differ, also about the home of a flow.
+//
+// A group is the balancers of one or several data centres that share the flows
+// of these data centres.
 type View struct {
 	Self    int // index in Nodes
 	Nodes   []Node
@@ -36,18 +40,18 @@
 	Name       string
 	DataCenter string
 	Data       netip.AddrPort // receives encapsulated packets
-	Seed       uint64
-	Serving    bool // may be a flow's home: neither leaving nor starting
+	Seed       uint64         // rendezvous seed
+	Serving    bool           // may be a flow's home: neither leaving nor starting
 }
 
 // Address is a service address.
 type Address struct {
-	ID         uint32
-	Service    uint32
+	ID         uint32 // see flow.Key
+	Service    uint32 // number
 	Class      catalogue.Class
-	Idempotent bool
-	Deadline   time.Duration
-	Withdrawn  bool // no longer in the catalogue: no new flows
+	Idempotent bool          // a request may be processed twice
+	Deadline   time.Duration // how long an opening may wait for room; 0 means defaultDeadline
+	Withdrawn  bool          // no longer in the catalogue: no new flows
 }
 
 // Unit returns the unit that a flow of the address uses at its target.
@@ -61,7 +65,7 @@
 // Service holds the balancing parameters and targets of one service.
 type Service struct {
 	Name    string
-	Slack   float64
+	Slack   float64 // see balance.SlackFor
 	Policy  balance.Policy
 	Targets []balance.Target
 	// SpillTo lists the data centres of other groups that have targets, while
@@ -99,6 +103,7 @@
 	port uint64
 }
 
+// vip4 returns an IPv4 service address and port as a map key.
 func vip4(a netip.AddrPort) uint64 {
 	b := a.Addr().As4()
 	return uint64(binary.BigEndian.Uint32(b[:]))<<16 | uint64(a.Port())
@@ -142,6 +147,7 @@
 // slot; other flows are distributed over all balancers.
 func (a *Address) homeKey(flowHash uint64) uint64 {
 	if a.Class.UsesSlots() {
+		// Score serves as a hash here, with a seed that all balancers share.
 		return rendezvous.Score(uint64(a.Service), 0x5e71)
 	}
 	return flowHash
@@ -180,6 +186,7 @@
 // that has just become home, position 0 is the former home, which may be
 // leaving or still serving.
 func (v *View) nextAfter(key uint64, home, n int) int {
+	// The first n+3 nodes suffice, since at most two of them are skipped.
 	for _, i := range rendezvous.Order(nil, key, nodeSeeds(v.Nodes), n+3) {
 		if i == home || i == v.Self {
 			continue
--- a/internal/router/views_test.go
+++ b/internal/router/views_test.go
@@ -80,7 +80,7 @@
 	refusal := packet.Build(testAddress, testCaller, 0, 1001, header.TCPFlagRst|header.TCPFlagAck, nil)
 	fromTarget(r, time.Second, target, refusal, out)
 	if len(out.Actions) != 0 || r.Count(DropLateRefusal) != 1 || r.Count(FlowEnded) != 0 {
-		t.Fatalf("the flow was taken for ended: %+v", out.Actions)
+		t.Fatalf("the flow was ended: %+v", out.Actions)
 	}
 }
 
@@ -101,14 +101,14 @@
 	former, _ := newTestRouter(1, 2, 2)
 	passed(former, time.Second, v.Nodes[0].Data.Addr(), a.Hop, a.Packet, out)
 	if len(out.Actions) != 0 || former.Count(DropLateAccept) != 1 {
-		t.Fatalf("the former home did %+v", out.Actions)
+		t.Fatalf("the former home sent %+v", out.Actions)
 	}
 	fromTarget(r, time.Second, o.target, synAck(c, testAddress), out)
 	only(t, out, ToCaller)
 	fromCaller(r, time.Second, packet.Build(c, testAddress, 1001, 5001, header.TCPFlagAck, nil), out)
 	fromTarget(r, 2*time.Second, other, synAck(c, testAddress), out)
 	if a := only(t, out, ToTarget); a.Target != other || !parsedReset(t, a) {
-		t.Fatalf("reset went to %s", a.Target)
+		t.Fatalf("the reset was sent to %s", a.Target)
 	}
 }
 
@@ -135,9 +135,9 @@
 	}
 }
 
-// Two balancers take each other for a stream's home until the hop limit makes
-// the wrong one decide. If its target does not answer, it must not retry at
-// another target, since the home may have opened the stream.
+// Each of two balancers considers the other one a stream's home until the hop
+// limit makes the wrong one decide. If its target does not answer, it must not
+// retry at another target, since the home may have opened the stream.
 func TestOpeningOfAnotherHomeIsForgotten(t *testing.T) {
 	r, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -183,21 +183,21 @@
 	r, v := newTestRouter(0, 2, 2)
 	out := &Output{}
 	c := callerOf(v, 1)
-	left := v.Targets[1].Addr
-	note := packet.Build(c, testAddress, 1001, 5001, header.TCPFlagAck|header.TCPFlagPsh, []byte("POST"))
+	first := v.Targets[1].Addr
+	request := packet.Build(c, testAddress, 1001, 5001, header.TCPFlagAck|header.TCPFlagPsh, []byte("POST"))
 	bare := func(ack uint32) {
-		fromTarget(r, time.Second, left, packet.Build(testAddress, c, 7001, ack, header.TCPFlagAck, nil), out)
+		fromTarget(r, time.Second, first, packet.Build(testAddress, c, 7001, ack, header.TCPFlagAck, nil), out)
 	}
 	for range 2 {
 		bare(1001)
-		fromCaller(r, time.Second, note, out)
+		fromCaller(r, time.Second, request, out)
 		if a := only(t, out, ToPeer); a.Hop.Kind != geneve.Ask {
 			t.Fatalf("hop %+v", a.Hop)
 		}
 	}
 	bare(1005)
-	fromCaller(r, time.Second, note, out)
-	if a := only(t, out, ToTarget); a.Target != left {
+	fromCaller(r, time.Second, request, out)
+	if a := only(t, out, ToTarget); a.Target != first {
 		t.Fatalf("a flow that progresses was not learned: %+v", a)
 	}
 }
@@ -267,10 +267,10 @@
 	}
 }
 
-// Two balancers take each other for a stream's home. The one that handed over
-// the opening gets the target's SYN-ACK at the hop limit and must pass it to
-// the new home, which would otherwise refuse the opening as unanswered. The
-// SYN-ACK must not circulate between them.
+// Each of two balancers considers the other one a stream's home. The one that
+// handed over the opening gets the target's SYN-ACK at the hop limit and must
+// pass it to the new home, which would otherwise refuse the opening as
+// unanswered. The SYN-ACK must not circulate between them.
 func TestAcceptanceOfAHandedOpeningGoesToItsHome(t *testing.T) {
 	after := testView(0, 2, 1)
 	before := testView(0, 2, 1)
@@ -286,7 +286,7 @@
 	passed(r, time.Second, after.Nodes[1].Data.Addr(), hop, synAck(c, testAddress), out)
 	a := only(t, out, ToPeer)
 	if a.Peer != after.Nodes[1].Data {
-		t.Fatalf("went to %s", a.Peer)
+		t.Fatalf("the SYN-ACK was sent to %s", a.Peer)
 	}
 	home, v := newTestRouter(1, 2, 1)
 	passed(home, time.Second, v.Nodes[0].Data.Addr(), a.Hop, a.Packet, out) // before the handover
