--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -223,7 +223,7 @@
 // has sequence number 0 (RFC 9293, section 3.10.7.1).
 //
 // A target may refuse one copy of an opening packet and accept a later one,
-// and the refusal may arrive last. If it were taken for the end of the flow,
+// and the refusal may arrive last. If it were treated as the end of the flow,
 // the slot of a live flow would be released, and a further copy of the opening
 // packet would open it at another target. The caller ignores such a reset once
 // its connection is established.
--- a/internal/router/crossed.go
+++ b/internal/router/crossed.go
@@ -32,7 +32,7 @@
 // answer is called crossed.
 //
 // When a port is reused or an opening is retried, packets of the former target
-// may still be in transit, and the caller would take them for answers of its
+// may still be in transit, and the caller would accept them as answers of its
 // new flow. Balancers that learned the wrong target from them are corrected.
 //
 // No correction is sent while the recorded target's SYN-ACK is not
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -63,7 +63,7 @@
 		}
 	case flow.Handed:
 		if !c.isHome() {
-			// The packet came back from a balancer with an older view; the new
+			// A balancer with an older view returned the packet; the new
 			// home has the opening already.
 			c.r.Increment(DropOpeningRepeated)
 			return
--- a/internal/router/probe_test.go
+++ b/internal/router/probe_test.go
@@ -130,7 +130,7 @@
 
 // A candidate's reset reaches a balancer that does not probe. It must be
 // passed to the one that does, or the probe would stay with that candidate
-// until the caller gives up.
+// until the caller closes its connection.
 func TestRejectionFindsTheBalancerThatProbes(t *testing.T) {
 	home, v := newTestRouter(0, 2, 2)
 	out := &Output{}
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -46,11 +46,10 @@
 }
 
 // retryUnanswered sends an opening that its target left unanswered to another
-// one. The first target is never tried again for this opening: its late
-// SYN-ACK would be mistaken for the answer to the second attempt, while the reset
-// for the first attempt ends the connection. If no other target has room or
-// the retry budget is spent, the opening stays with its target until the
-// deadline.
+// one. The first target is never tried again for this opening: its late SYN-ACK
+// would be mistaken for the answer to the second attempt, while the reset for
+// the first attempt ends the connection. If no other target has room or the
+// retry budget is spent, the opening stays with its target until the deadline.
 //
 // The abandoned target is reset only when its SYN-ACK arrives, after former
 // homes were asked (see rejectAccept). While views differ another home may
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -87,7 +87,7 @@
 //
 // An answer may be forwarded here and lost on its way to the caller, which
 // then retransmits its segment seconds later. Answers of the flow itself
-// restart the count, so that they are not taken for answers to other flows and
+// restart the count, so that they are not mistaken for answers to other flows and
 // a live flow is not reset.
 //
 // Segments may be lost between the home and the target, and answers after
