--- a/internal/replica/era.go
+++ b/internal/replica/era.go
@@ -10,7 +10,7 @@
 // eras are not comparable. It returns the items whose values differ, removals first.
 //
 // Guards against a store that was restored from an older copy, so that its revisions go
-// back. Without this, a replica that goes on with its old revision drops every listing as
+// back. Without this, a replica that keeps its old revision drops every listing as
 // outdated and asks for changes after a revision that the store has yet to reach again.
 // Changes are then acknowledged but never come into force.
 func (r *Replica) replaceEra(items []Item, position revision.Revision, proven time.Duration) []Item {
--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("changes %v, want %v", out, want)
 	}
 	if out := r.Apply([]Item{put("a", "2", 33)}, second.At(33), 0); len(out) != 1 {
-		t.Error("a change with a revision that an earlier era gave out was not taken")
+		t.Error("a change with a revision that an earlier era had used was not applied")
 	}
 	if r.Position() != second.At(33) {
 		t.Errorf("position %v", r.Position())
@@ -53,6 +53,6 @@
 		t.Errorf("%v, want behind", got)
 	}
 	if after := r.After(peer.Position().Era, peer.History()); after != 0 {
-		t.Errorf("asks for the changes after %d, want a whole copy", after)
+		t.Errorf("asks for the changes after %d, want a full copy", after)
 	}
 }
--- a/internal/replica/erasimulation_test.go
+++ b/internal/replica/erasimulation_test.go
@@ -55,8 +55,8 @@
 
 func (w *eraSimulation) tick(m *member) {
 	w.after(100*time.Millisecond, func() { w.tick(m) })
-	served := w.now-m.readerHeard < time.Second && m.readerHeard > 0
-	reads := m.reader.Decide(Place{Centre: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), served)
+	activeReader := w.now-m.readerHeard < time.Second && m.readerHeard > 0
+	reads := m.reader.Decide(Place{Centre: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), activeReader)
 	if reads && w.now >= m.nextRead {
 		w.read(m)
 	}
@@ -73,13 +73,13 @@
 		return
 	}
 	w.reads++
-	asked, now := w.now, revision.Revision{Era: w.era, Number: 50 + int64(w.now/time.Millisecond)}
+	startedAt, now := w.now, revision.Revision{Era: w.era, Number: 50 + int64(w.now/time.Millisecond)}
 	if now.Era == m.copy.Position().Era {
-		w.after(storeDelay, func() { m.copy.Apply(nil, now, asked) })
+		w.after(storeDelay, func() { m.copy.Apply(nil, now, startedAt) })
 		return
 	}
 	w.listings++
-	w.after(storeDelay, func() { w.replaceCopy(m, nil, now, asked) })
+	w.after(storeDelay, func() { w.replaceCopy(m, nil, now, startedAt) })
 }
 
 func (w *eraSimulation) replaceCopy(m *member, items []Item, at revision.Revision, proven time.Duration) {
@@ -145,7 +145,7 @@
 				t.Errorf("the last one followed after %v", last)
 			}
 			if busy := time.Duration(float64(w.listings*w.bytes(listBytes)*8) / storeLink * float64(time.Second)); busy > listingLimit {
-				t.Errorf("%d listings take the store's link for %v", w.listings, busy)
+				t.Errorf("%d listings occupy the store's link for %v", w.listings, busy)
 			}
 		})
 	}
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -58,9 +58,9 @@
 	self        netip.AddrPort
 	jitter      float64
 	sources     []netip.AddrPort
-	requests    int // requests so far
-	pending     int // unanswered requests
-	initialized bool
+	requests    int           // requests so far
+	pending     int           // unanswered requests
+	initialized bool          // SetSources or Bootstrap was called
 	rankKnownAt time.Duration // when this balancer knows its rank
 	listAt      time.Duration // from when on this balancer may list the store
 }
@@ -79,7 +79,8 @@
 }
 
 // Bootstrap is called instead of SetSources when a fleet starts for the first time: no
-// sources are known yet and no caller waits. The seeds list the store for the others.
+// sources are known yet and no caller waits. The seeds, which are the balancers named in
+// the settings, list the store for the others.
 //
 // With this, the first start of 295 balancers and the 34 s after it took 907 store calls
 // instead of 1,410.
@@ -104,9 +105,9 @@
 // Place returns this balancer's place in the order of readers, given its place according
 // to its replica.
 //
-// The balancers of a new fleet know no others when they start, so each would take itself
-// for the first reader and read the store several times. Until they know each other, only
-// the seeds read.
+// The balancers of a new fleet know no others when they start. Each would consider itself
+// the first reader and read the store several times. Until they know each other, only the
+// seeds read.
 func (f *FirstCopy) Place(now time.Duration, p Place) Place {
 	if now < f.rankKnownAt && f.HasSources() {
 		return LastPlace
--- a/internal/replica/firstcopy_test.go
+++ b/internal/replica/firstcopy_test.go
@@ -27,7 +27,7 @@
 			t.Logf("%d listings, 90%% after %v, all after %v; without sources %d, %v, %v",
 				w.listings, w.delay(0.9), w.delay(1), all.listings, all.delay(0.9), all.delay(1))
 			if n >= 600 && all.delay(0.9) < 2*w.delay(0.9) {
-				t.Errorf("sources bring no gain: 90%% have a copy after %v without them", all.delay(0.9))
+				t.Errorf("without sources 90%% have a copy after %v, want at least twice the time with sources", all.delay(0.9))
 			}
 		})
 	}
--- a/internal/replica/gap.go
+++ b/internal/replica/gap.go
@@ -4,11 +4,12 @@
 // gap fetch all items.
 const maxGaps = 8
 
-// gap is the part of the store's history between two revisions that a listing has
-// skipped.
+// gap is the part of the store's history between two revisions, both exclusive, that a
+// listing has skipped.
 type gap struct{ from, to int64 }
 
-// contains reports whether changes that follow the revision are in the gap.
+// contains reports whether the revision is in the gap, so that some changes after it
+// are not known.
 func (g gap) contains(revision int64) bool { return revision > g.from && revision < g.to }
 
 // History returns the revision after which this replica knows all significant changes.
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -52,8 +52,8 @@
 // now returns the store's revision.
 func (h *history) now() revision.Revision { return revision.Revision{Era: h.era(), Number: h.last()} }
 
-// write appends a random write: a heartbeat, a change, a removal or a removed key that
-// returns.
+// write appends a random write: a heartbeat, a change, a removal or a key that is
+// written again after its removal.
 func (h *history) write(rng *rand.Rand) {
 	rev := h.last() + 1
 	key := strconv.Itoa(rng.IntN(4))
@@ -68,7 +68,8 @@
 	}
 }
 
-// answer applies a requested answer that has not arrived yet.
+// answer is the answer to a request, still in transit. Calling it delivers it to the
+// replica.
 type answer func(*Replica)
 
 // read requests changes or a listing from the store, as a reader does.
@@ -97,9 +98,9 @@
 	return all, at
 }
 
-// requestChanges passes the report of from to to, and requests the changes that to lacks.
-// A copy whose freshness is unproven requests them only if the balancer of from reads the
-// store.
+// requestChanges evaluates the heartbeat of one balancer at another one, and requests the
+// changes that the other one lacks. If it is unproven whether it lacks any, it requests
+// them only if the first one is reading the store.
 func requestChanges(from, to *Replica, reading bool) answer {
 	if !from.Loaded() {
 		return nil
@@ -124,55 +125,55 @@
 
 // The store compacts its history, registrations expire and return, some balancers list
 // the store while others follow changes, and the store is restored from older copies
-// while answers of earlier eras are in transit. A copy must hold exactly what the store
-// held at the position up to which it claims to be complete. A balancer that lacks a
-// registration resets the flows of a live target.
+// while answers of earlier eras are in transit. A replica must contain exactly what the
+// store contained at the position up to which it claims to be complete. A balancer that
+// lacks a registration resets the flows of a live target.
 func TestCopiesHoldWhatTheyClaim(t *testing.T) {
 	for seed := range uint64(5000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		h := &history{}
-		copies := make([]*Replica, 4)
-		for i := range copies {
-			copies[i] = New(significant)
+		replicas := make([]*Replica, 4)
+		for i := range replicas {
+			replicas[i] = New(significant)
 		}
-		waiting := make([][]answer, len(copies))
+		inTransit := make([][]answer, len(replicas))
 		for range 80 {
-			a, b := rng.IntN(len(copies)), rng.IntN(len(copies))
+			a, b := rng.IntN(len(replicas)), rng.IntN(len(replicas))
 			switch rng.IntN(15) {
 			case 0, 1, 2:
 				h.write(rng)
 			case 3, 4, 5:
-				waiting[a] = append(waiting[a], h.read(copies[a], rng))
+				inTransit[a] = append(inTransit[a], h.read(replicas[a], rng))
 			case 6, 7, 8:
-				if x := requestChanges(copies[a], copies[b], rng.IntN(2) == 0); x != nil {
-					waiting[b] = append(waiting[b], x)
+				if x := requestChanges(replicas[a], replicas[b], rng.IntN(2) == 0); x != nil {
+					inTransit[b] = append(inTransit[b], x)
 				}
 			case 9, 10, 11:
-				if n := len(waiting[a]); n > 0 {
+				if n := len(inTransit[a]); n > 0 {
 					i := rng.IntN(n)
-					waiting[a][i](copies[a])
-					waiting[a] = slices.Delete(waiting[a], i, i+1)
+					inTransit[a][i](replicas[a])
+					inTransit[a] = slices.Delete(inTransit[a], i, i+1)
 				}
 			case 12:
 				h.compacted = h.last()
 			case 13:
-				copies[a], waiting[a] = New(significant), nil // the balancer restarts
+				replicas[a], inTransit[a] = New(significant), nil // the balancer restarts
 			case 14:
 				if rng.IntN(4) == 0 {
 					h.restore(rng)
 				}
 			}
-			for i, r := range copies {
-				if missing := mismatch(r, h); missing != "" {
-					t.Fatalf("seed %d: copy %d at position %v: %s", seed, i, r.Position(), missing)
+			for i, r := range replicas {
+				if difference := mismatch(r, h); difference != "" {
+					t.Fatalf("seed %d: replica %d at position %v: %s", seed, i, r.Position(), difference)
 				}
 			}
 		}
 	}
 }
 
-// mismatch compares a copy with the store at the copy's position. It returns an empty
-// string if they match.
+// mismatch compares a replica with the store at the replica's position. It returns an
+// empty string if they match.
 func mismatch(r *Replica, h *history) string {
 	if !r.Loaded() {
 		return ""
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -1,7 +1,8 @@
 package replica
 
-// Since returns the significant changes after a revision. It returns false if they are no
-// longer kept, so that the peer has to fetch all items.
+// Since returns the significant changes after a revision. It returns false if not all of
+// them are known: the log is too short, or the revision is in a gap. The peer then has to
+// fetch all items.
 func (r *Replica) Since(after int64) ([]Item, bool) {
 	if after < r.logFrom {
 		return nil, false
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -19,7 +19,7 @@
 	// rankStep is added for each rank in the data centre.
 	rankStep = 250 * time.Millisecond
 	// lastRank is the highest rank that is distinguished. It bounds the age of the
-	// replica of a balancer that hears no others to 2.45 s, below the 3 s in which
+	// replica of a balancer that gets no heartbeats to 2.45 s, below the 3 s in which
 	// changes have to be in force.
 	lastRank = 3
 	// MaxReadInterval bounds the interval after failed reads.
@@ -70,6 +70,8 @@
 // Such a balancer needs no updates from others.
 func (r *Reader) Succeeding() bool { return r.reading && r.failed == 0 }
 
+// maxAge returns the age of the replica above which a balancer at this place reads the
+// store.
 func (p Place) maxAge() time.Duration {
 	return takeoverAge + time.Duration(min(p.Centre, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -54,7 +54,8 @@
 // Position returns the revision up to which the replica is complete.
 func (r *Replica) Position() revision.Revision { return r.position }
 
-// Age returns an upper bound of the replica's age.
+// Age returns the time since the replica was last known to be current, or neverLoaded if
+// it was never loaded.
 func (r *Replica) Age(now time.Duration) time.Duration {
 	if !r.loaded {
 		return neverLoaded
@@ -175,6 +176,7 @@
 	case position.Number > before && r.exact:
 		r.addGap(gap{before, position.Number})
 	case position.Number > before:
+		// Keys of the previous position may be missing, so that it is in the gap too.
 		r.addGap(gap{before - 1, position.Number})
 	}
 	r.loaded = true
@@ -250,6 +252,7 @@
 	return r.significant(new.Key, old.Value, new.Value)
 }
 
+// advance raises the position and forgets removals that are older than removalRetention.
 func (r *Replica) advance(position int64) {
 	if position <= r.position.Number {
 		return
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -43,7 +43,7 @@
 		{"removal of an unknown key", removal("x", 11), false},
 	} {
 		if got := len(r.Apply([]Item{c.item}, at(c.item.Revision), 0)) > 0; got != c.want {
-			t.Errorf("%s: matters %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: significant %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -85,14 +85,14 @@
 func TestConfirm(t *testing.T) {
 	r := New(significant)
 	if r.Confirm(at(5), 3, 0, time.Second) != Behind {
-		t.Error("an empty copy was confirmed")
+		t.Error("an empty replica was confirmed")
 	}
 	r.Replace([]Item{put("a", "1", 3)}, at(5), time.Second)
 	if r.Confirm(at(20), 3, 0, 2*time.Second) != Current || r.Position() != at(20) || r.Age(3*time.Second) != time.Second {
 		t.Errorf("position %d, age %v", r.Position(), r.Age(3*time.Second))
 	}
 	if r.Confirm(at(30), 25, 0, 4*time.Second) != Behind || r.Age(4*time.Second) != 2*time.Second {
-		t.Error("a copy that lacks a change was confirmed")
+		t.Error("a replica that lacks a change was confirmed")
 	}
 }
 
@@ -137,7 +137,7 @@
 		t.Errorf("freshness %v, want behind", got)
 	}
 	if _, ok := r.Since(7); ok {
-		t.Error("changes since a revision in the gap are not known")
+		t.Error("Since returned changes for a revision in the gap, where some are unknown")
 	}
 	if items, ok := r.Since(5); !ok || len(items) != 1 {
 		t.Errorf("changes since before the gap: %v, %v", items, ok)
@@ -154,7 +154,7 @@
 	peer.Replace(nil, at(5), 0) // a was removed at 6, before its page was read
 	peer.Replace(nil, at(9), 0)
 	if _, ok := peer.Since(r.After(0, peer.History())); ok {
-		t.Error("changes since the first listing are not known")
+		t.Error("Since returned changes for the position of the first listing, where some are unknown")
 	}
 }
 
@@ -162,7 +162,7 @@
 	r := New(significant)
 	r.Replace([]Item{put("a", "0", 1)}, at(10), 0)
 	if _, ok := r.Since(9); ok {
-		t.Error("changes before the first listing are not known")
+		t.Error("Since returned changes for a revision before the first listing, where some are unknown")
 	}
 	for rev := int64(11); rev < 11+3*logLength; rev++ {
 		r.Apply([]Item{put("a", strconv.FormatInt(rev, 10), rev)}, at(rev), 0)
@@ -177,8 +177,8 @@
 }
 
 // Balancers exchange items with the store and each other in any order, with
-// duplicates and old listings. In the end all copies are equal, and no copy ever
-// returns to an older write of a key.
+// duplicates and old listings. In the end all replicas are equal, and none ever returns
+// to an older write of a key.
 func TestCopiesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -186,7 +186,7 @@
 		store.Replace(nil, at(1), 0)
 		a, b := New(significant), New(significant)
 		a.Replace(nil, at(1), 0)
-		seen := map[string]int64{}
+		newest := map[string]int64{}
 		for rev := int64(2); rev < 60; rev++ {
 			key := strconv.Itoa(rng.IntN(5))
 			i := put(key, strconv.Itoa(rng.IntN(3)), rev)
@@ -197,16 +197,16 @@
 			randomExchange(rng, store, a)
 			randomExchange(rng, a, b)
 			for k, x := range b.items {
-				if x.Revision < seen[k] {
-					t.Fatalf("seed %d: key %s went back from %d to %d", seed, k, seen[k], x.Revision)
+				if x.Revision < newest[k] {
+					t.Fatalf("seed %d: key %s went back from %d to %d", seed, k, newest[k], x.Revision)
 				}
-				seen[k] = x.Revision
+				newest[k] = x.Revision
 			}
 		}
 		copyChanges(store, a)
 		copyChanges(a, b)
 		if !sameValues(store, b) {
-			t.Fatalf("seed %d: copies differ:\n%v\n%v", seed, store.All(), b.All())
+			t.Fatalf("seed %d: replicas differ:\n%v\n%v", seed, store.All(), b.All())
 		}
 	}
 }
@@ -246,24 +246,24 @@
 
 func TestReaderTakesOverInOrder(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		place  Place
-		age    time.Duration
-		served bool
-		was    bool
-		want   bool
+		name         string
+		place        Place
+		age          time.Duration
+		activeReader bool
+		wasReading   bool
+		want         bool
 	}{
 		{"first of all", Place{}, 0, false, false, true},
-		{"others, fresh copy", Place{Rank: 1}, 400 * time.Millisecond, true, false, false},
-		{"others, slow store", Place{Centre: 1}, 1200 * time.Millisecond, false, false, false},
-		{"first of the second data centre, old copy", Place{Centre: 1}, 1450 * time.Millisecond, false, false, true},
+		{"not first, fresh replica", Place{Rank: 1}, 400 * time.Millisecond, true, false, false},
+		{"not first, slow store", Place{Centre: 1}, 1200 * time.Millisecond, false, false, false},
+		{"first of the second data centre, old replica", Place{Centre: 1}, 1450 * time.Millisecond, false, false, true},
 		{"second in rank waits longer", Place{Rank: 1}, 1450 * time.Millisecond, false, false, false},
-		{"last in rank, old copy", Place{Centre: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
+		{"last in rank, old replica", Place{Centre: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
 		{"keeps reading while no other balancer reads", Place{Rank: 2}, 100 * time.Millisecond, false, true, true},
 		{"stops when an earlier balancer reads", Place{Rank: 2}, 100 * time.Millisecond, true, true, false},
 	} {
-		r := Reader{reading: c.was}
-		if got := r.Decide(c.place, c.age, c.served); got != c.want {
+		r := Reader{reading: c.wasReading}
+		if got := r.Decide(c.place, c.age, c.activeReader); got != c.want {
 			t.Errorf("%s: reads %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -275,10 +275,10 @@
 	r := Reader{reading: true}
 	r.Done(false)
 	if r.Decide(Place{Rank: 2}, 500*time.Millisecond, false) || r.Succeeding() {
-		t.Error("keeps reading although its reads fail and its copy is fresh")
+		t.Error("keeps reading although its reads fail and its replica is fresh")
 	}
 	if !r.Decide(Place{Rank: 2}, 3*time.Second, false) {
-		t.Error("does not try again with an old copy")
+		t.Error("does not try again with an old replica")
 	}
 	r.Done(true)
 	if !r.Succeeding() {
--- a/internal/replica/settling.go
+++ b/internal/replica/settling.go
@@ -16,8 +16,8 @@
 //
 // Guards against a target that registered, announced that it leaves, or left after the
 // copy was made. Without this, a live target would count as gone, or openings would be
-// sent to one that is gone. Such a change therefore only counts if it still holds once
-// the store has settled.
+// sent to one that is gone. Such a change therefore only counts if the store still shows
+// it once it has settled.
 type Settling struct {
 	until    time.Duration
 	proven   time.Duration // when the replica was last current before the restore
@@ -68,7 +68,7 @@
 // replica was last known to be current.
 //
 // Guards against a target that registered after the copy was made and whose flow reaches
-// a balancer that had not heard of it. If the store's list of targets counted as complete
+// a balancer that did not know it. If the store's list of targets counted as complete
 // without the target, the balancer would reset a live flow.
 func (s *Settling) Proven(now, proven time.Duration) time.Duration {
 	if s.Left(now) > 0 {
--- a/internal/replica/settling_test.go
+++ b/internal/replica/settling_test.go
@@ -12,7 +12,7 @@
 	var s Settling
 	const length = 3 * time.Second
 	if s.Left(time.Second) != 0 || s.Proven(time.Second, 7) != 7 || s.Settled(time.Second) != nil {
-		t.Error("a store that was never restored has to settle")
+		t.Error("a store that was never restored is settling")
 	}
 	s.Begin(10*time.Second, length, 8*time.Second)
 	s.Defer("b")
@@ -20,22 +20,22 @@
 	s.Defer("c")
 	s.Release("b")
 	if got := s.Left(11 * time.Second); got != 2*time.Second {
-		t.Errorf("settles for another %v", got)
+		t.Errorf("settles for another %v, want 2s", got)
 	}
 	if got := s.Proven(12*time.Second, 11*time.Second); got != 8*time.Second {
-		t.Errorf("the list of targets was complete at %v", got)
+		t.Errorf("while settling: the list of targets was complete at %v, want 8s", got)
 	}
 	if got := s.Settled(12 * time.Second); got != nil {
-		t.Errorf("%v applied too early", got)
+		t.Errorf("%v returned before the store has settled", got)
 	}
 	if got := s.Settled(13 * time.Second); !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("%v applied", got)
+		t.Errorf("deferred keys %v, want a and c", got)
 	}
 	if got := s.Settled(14 * time.Second); got != nil {
-		t.Errorf("%v applied twice", got)
+		t.Errorf("%v returned twice", got)
 	}
 	if got := s.Proven(13*time.Second, 12*time.Second); got != 12*time.Second {
-		t.Errorf("the list of targets was complete at %v", got)
+		t.Errorf("settled: the list of targets was complete at %v, want 12s", got)
 	}
 }
 
@@ -47,10 +47,10 @@
 	s.Defer("a")
 	s.Begin(12*time.Second, 3*time.Second, 11*time.Second)
 	if got := s.Proven(14*time.Second, 13*time.Second); got != 8*time.Second {
-		t.Errorf("the list of targets was complete at %v", got)
+		t.Errorf("while settling: the list of targets was complete at %v, want 8s", got)
 	}
 	if got := s.Settled(15 * time.Second); len(got) != 1 {
-		t.Errorf("%v applied", got)
+		t.Errorf("deferred keys %v, want a", got)
 	}
 }
 
--- a/internal/replica/startsimulation_test.go
+++ b/internal/replica/startsimulation_test.go
@@ -15,10 +15,10 @@
 	listBytes    = 165   // bytes of a listing for each balancer or target
 	copyBytes    = 15    // bytes of a packed copy for each balancer or target
 	storeDelay   = 12 * time.Millisecond
-	handlingTime = 20 * time.Millisecond // processing of a copy by a small VM
-	startSpread  = 300 * time.Millisecond
-	dialLimit    = 250 * time.Millisecond
-	waitLimit    = 300 * time.Millisecond
+	handlingTime = 20 * time.Millisecond  // processing of a copy by a small VM
+	startSpread  = 300 * time.Millisecond // all VMs start within this time
+	dialLimit    = 250 * time.Millisecond // timeout for connecting to a source
+	waitLimit    = 300 * time.Millisecond // how long a source without a copy delays a request
 	centres      = 5
 	targetsPerVM = 2 // number of targets for each VM
 )
@@ -41,7 +41,7 @@
 
 type vm struct {
 	id             int
-	powered, start time.Duration
+	powered, start time.Duration // when the VM gets power and when its balancer starts
 	copiedAt       time.Duration // 0 until there is a copy
 	link           link
 	first          *FirstCopy
@@ -51,8 +51,8 @@
 
 // link transmits one message at a time.
 type link struct {
-	bits float64
-	free time.Duration
+	bits float64       // bit/s
+	free time.Duration // when the last message will have been sent
 }
 
 func (l *link) send(now time.Duration, bytes int) time.Duration {
@@ -74,6 +74,8 @@
 	return w
 }
 
+// bytes returns the size of the data of all balancers and targets, with the given number
+// of bytes for each.
 func (w *startSimulation) bytes(each int) int { return w.size * (1 + targetsPerVM) * each }
 
 func (w *startSimulation) sources(v *vm) []netip.AddrPort {
@@ -119,10 +121,11 @@
 
 // transfer is a listing that shares the store's link with the others.
 type transfer struct {
-	bits float64 // remaining
+	bits float64 // remaining bits
 	done func()
 }
 
+// transferStep is the simulation step of the listings.
 const transferStep = time.Millisecond
 
 // advanceListings advances all listings by one step.
