--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -113,10 +113,10 @@
 	t.Revision = c.replica.Position().At(i.Revision)
 	c.edge.mu.Lock()
 	lost := c.edge.forward.PutTarget(now, t)
-	named := c.edge.forward.Named(t.Service)
+	inCatalogue := c.edge.forward.Named(t.Service)
 	c.edge.mu.Unlock()
 	c.resetFlows(now, lost, direct.ResetRestarted, id)
-	if c.version > 0 && !named {
+	if c.version > 0 && !inCatalogue {
 		c.log.Warn("target's service is not in the catalogue: it gets no flows until it is", zap.Stringer("target", id),
 			c.revision(i), zap.String("service", t.Service), zap.Int64("version", c.version))
 	}
@@ -137,11 +137,11 @@
 		c.revision(i), zap.String("source", source), zap.Error(why))
 }
 
-func (c *control) removeTarget(now time.Duration, id direct.TargetID, i replica.Item, source string, tell bool) {
+func (c *control) removeTarget(now time.Duration, id direct.TargetID, i replica.Item, source string, logged bool) {
 	c.edge.mu.Lock()
 	c.edge.forward.RemoveTarget(now, id)
 	c.edge.mu.Unlock()
-	if tell {
+	if logged {
 		c.log.Info("target gone", zap.Stringer("target", id), c.revision(i), zap.String("source", source))
 	}
 }
--- a/internal/edge/complaint_test.go
+++ b/internal/edge/complaint_test.go
@@ -69,7 +69,7 @@
 	caller := netip.AddrPortFrom(address(d.net, callerNet, 1), 1025)
 	lines := b.flowLines(t, caller)
 	if len(lines) != 3 {
-		t.Fatalf("%d lines of the flow, want one for each copy of the opening: %v", len(lines), lines)
+		t.Fatalf("%d lines of the flow, want one for each transmission of the opening: %v", len(lines), lines)
 	}
 	first := lines[0]["target"].(string)
 	for _, key := range []string{"outcome", "target", "load", "version", "age", "copy"} {
@@ -78,7 +78,7 @@
 		}
 	}
 	if lines[1]["outcome"] != "opened_elsewhere" || lines[1]["target"] == first {
-		t.Errorf("second copy: %v", lines[1])
+		t.Errorf("second transmission: %v", lines[1])
 	}
 	found := false
 	for _, l := range b.lines(t, "target checked") {
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -49,15 +49,15 @@
 	fleet         *peer.Fleet
 	fleetRevision int                   // revision of the fleet that the forwarder has; see updateFleet
 	peers         map[string]*peerState // by name
-	// unregistered holds the keys of balancers that are heard although their registration
-	// is gone.
+	// unregistered holds the keys of balancers that send heartbeats although their
+	// registration is gone.
 	unregistered   map[string]bool
 	readAt         time.Duration // when the next read of the store is due
-	readBusy       bool
-	era            atomic.Int64 // of the replica
+	readBusy       bool          // a read of the store is in progress
+	era            atomic.Int64  // of the replica
 	settling       replica.Settling
-	readDone       time.Duration
-	fetchBusy      bool
+	readDone       time.Duration // when the last successful read ended
+	fetchBusy      bool          // a request for changes from a peer is in progress
 	fetchTurn      int           // selects the balancer to ask next
 	copySlots      chan struct{} // has an element for each full copy being sent
 	firstCopy      *replica.FirstCopy
@@ -69,7 +69,7 @@
 	alarmSent      time.Duration // when the last suspicion was sent
 	outcomesSent   time.Duration // see sendOutcomesIfDue
 	ticks          int
-	storeLost      bool
+	storeLost      bool // the last read of the store failed
 }
 
 // peerState is the state of another balancer according to its heartbeats.
@@ -161,6 +161,7 @@
 	c.edge.forward.SetBalancers(c.edge.boot.Control.String(), others)
 }
 
+// tick does the periodic work of the control goroutine.
 func (c *control) tick(ctx context.Context) {
 	now := c.now()
 	c.ticks++
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -49,8 +49,9 @@
 	return 0
 }
 
-// becomeReady reports readiness and starts forwarding once there are a catalogue and
-// targets.
+// becomeReady starts forwarding, including the openings that have waited, and reports
+// readiness to the routers. The catalogue and the targets must have been applied. It has
+// no effect if the balancer is ready already or is stopping.
 func (e *Edge) becomeReady() {
 	if e.ready.ok.Load() || e.stopping.Load() {
 		return
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -26,12 +26,12 @@
 	// stopQuiet is the time without packets after which a planned stop ends. The routers
 	// use other balancers by then, as a VM receives hundreds of packets per second.
 	stopQuiet = 200 * time.Millisecond
-	// stopLeast is how long the routers take to detect that a balancer is not ready: two
-	// failed probes, half a second apart, and a margin. With a longer minimum, stops
-	// would overlap when a data centre's balancers are restarted 1.2 s apart. If more
-	// than half of them are not ready, the routers use all of them, including those that
-	// have ended.
-	stopLeast = 1100 * time.Millisecond
+	// minStop is the minimum duration of a planned stop. It is how long the routers take
+	// to detect that a balancer is not ready: two failed probes, half a second apart, and
+	// a margin. With a longer minimum, stops would overlap when a data centre's balancers
+	// are restarted 1.2 s apart. If more than half of them are not ready, the routers use
+	// all of them, including those that have ended.
+	minStop = 1100 * time.Millisecond
 	// stopReserve is the part of the grace period that is reserved for the exit of the
 	// process.
 	stopReserve = time.Second
@@ -56,8 +56,8 @@
 	counts   counts
 }
 
-// Run runs a balancer, with the given mechanisms switched off, until ctx ends. It then
-// stops the balancer gracefully.
+// Run runs a balancer until ctx ends, and then stops it gracefully. without are the
+// feature switches that are off.
 func Run(ctx context.Context, boot platform.Boot, without direct.MechanismSet, log *logging.Logger) error {
 	e := &Edge{boot: boot, without: without, log: log, start: time.Now()}
 	m := metrics.New()
@@ -114,7 +114,7 @@
 		time.Sleep(stopQuiet / 4)
 		now := e.now()
 		quiet := now - e.packets.lastAt()
-		if now-began > last || now-began > stopLeast && quiet > stopQuiet {
+		if now-began > last || now-began > minStop && quiet > stopQuiet {
 			break
 		}
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -135,7 +135,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	b.shutdown(t)
-	if took := time.Since(began); took < stopLeast || took > b.boot.Grace {
+	if took := time.Since(began); took < minStop || took > b.boot.Grace {
 		t.Errorf("stopped after %v", took)
 	}
 }
--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -16,11 +16,11 @@
 // force.
 func (c *control) applyCopy(items []replica.Item, position revision.Revision, proven time.Duration, source string) {
 	before, loaded := c.replica.Position(), c.replica.Loaded()
-	knownAt := c.now() - c.replica.Age(c.now())
+	provenBefore := c.now() - c.replica.Age(c.now())
 	changes := c.replica.Replace(items, position, proven)
 	newEra := loaded && c.replica.Position().Era != before.Era
 	if newEra {
-		changes = c.beginEra(before, knownAt, changes, source)
+		changes = c.beginEra(before, provenBefore, changes, source)
 	}
 	c.apply(changes, source)
 	if newEra {
@@ -31,9 +31,11 @@
 
 // beginEra starts settling after a restore of the store from an older copy. It returns
 // the changes that apply at once. The others are deferred until the store has settled.
-func (c *control) beginEra(before revision.Revision, knownAt time.Duration, changes []replica.Item, source string) []replica.Item {
+// before is the replica's position before the restore, and provenBefore is when it was
+// last known to be current.
+func (c *control) beginEra(before revision.Revision, provenBefore time.Duration, changes []replica.Item, source string) []replica.Item {
 	now := c.now()
-	c.settling.Begin(now, c.settleTime(), knownAt)
+	c.settling.Begin(now, c.settleTime(), provenBefore)
 	var out []replica.Item
 	for _, i := range changes {
 		if c.knowsNewer(i) {
@@ -44,7 +46,7 @@
 	}
 	c.edge.counts.erasBegun.Add(1)
 	c.log.Warn("store came back from an older copy", zap.Stringer("before", before), zap.Stringer("position", c.replica.Position()),
-		zap.String("source", source), zap.Duration("age", now-knownAt), zap.Int("changes", len(out)), zap.Int("heldChanges", len(changes)-len(out)),
+		zap.String("source", source), zap.Duration("age", now-provenBefore), zap.Int("changes", len(out)), zap.Int("heldChanges", len(changes)-len(out)),
 		zap.Duration("settles", c.settling.Left(now)))
 	return out
 }
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -27,9 +27,10 @@
 
 // Guards against changes that never come into force after the store was restored from an
 // older copy with lower revisions. Balancers that compared revisions of two eras dropped
-// the store's listings as outdated (30 below 36) and then asked for changes after a
-// revision that was used a second time. Callers found a removed route open and an added
-// one closed, and were sent to a target that was leaving.
+// the store's listings as outdated ("listing of the store is older than the copy and
+// changes nothing", 30 below 36) and then asked for changes after a revision that was used
+// a second time. Callers found a removed route open and an added one closed, and were sent
+// to a target that was leaving.
 func TestChangesAfterTheStoreCameBack(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -15,8 +15,8 @@
 
 // An operator evacuates the data centre that holds all targets. Every balancer must know
 // within the time limit, including one that the store rejects and one that starts only
-// then. Callers must be refused at once, and open flows must go on. Once the data centre
-// is taken back it must serve again.
+// then. Callers must be refused at once, and open flows must continue. Once the data
+// centre is taken back it must serve again.
 func TestEvacuationReachesAllBalancers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
@@ -70,8 +70,8 @@
 		"put":             {[]replica.Item{put(2)}, 1},
 		"put, gone":       {[]replica.Item{put(2), gone(3)}, 0},
 		"put, gone, put":  {[]replica.Item{put(2), gone(3), put(4)}, 1},
-		"unreadable":      {[]replica.Item{{Key: evacuateA, Value: []byte("\xff{"), Revision: 2}}, 1},
-		"no data centre":  {[]replica.Item{{Key: platform.EvacuationPrefix, Revision: 2}}, 0},
+		"invalid value":   {[]replica.Item{{Key: evacuateA, Value: []byte("\xff{"), Revision: 2}}, 1},
+		"empty name":      {[]replica.Item{{Key: platform.EvacuationPrefix, Revision: 2}}, 0},
 		"slash in a name": {[]replica.Item{{Key: evacuateA + "/b", Revision: 2}}, 0},
 	} {
 		b := newTestControl(t)
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -212,10 +212,10 @@
 	return s
 }
 
-// waitForPeers waits until all balancers hear each other.
+// waitForPeers waits until all balancers get each other's heartbeats.
 func (d *deployment) waitForPeers() {
 	d.t.Helper()
-	d.eventually(5*time.Second, "all balancers hear each other", func() bool {
+	d.eventually(5*time.Second, "all balancers get each other's heartbeats", func() bool {
 		for _, b := range d.balancers {
 			if len(b.adminStatus(d.t).Peers) != len(d.balancers)-1 {
 				return false
--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -120,7 +120,7 @@
 }
 
 // findings returns the targets that failed their last check, and the indexes among them
-// of those that were found dead. The caller must hold the forwarder's lock.
+// of those that were found dead. The forwarder's lock must be held.
 func findings(f *direct.Forwarder) (suspected []uint64, dead []int) {
 	found := f.FoundDead()
 	for i, id := range f.Suspected() {
@@ -135,7 +135,10 @@
 	return suspected, dead
 }
 
-// recipients returns the balancers that get a heartbeat in this tick.
+// recipients returns the balancers that get a heartbeat in this tick. In a small fleet all
+// balancers send heartbeats to all others. In a large one only readers, and the first
+// balancer in rank of each data centre, send them to their data centre. Readers also send
+// them to the relays of the other data centres.
 func (c *control) recipients() []netip.AddrPort {
 	if c.fleet.Small() {
 		if c.ticks%farTicks == 0 {
--- a/internal/edge/heartbeat_test.go
+++ b/internal/edge/heartbeat_test.go
@@ -10,8 +10,8 @@
 	"rosedale.dev/rosedale/internal/peer"
 )
 
-// A heartbeat with the maximum content exceeds the size of a datagram. It must still be
-// sent, with what others need most.
+// A heartbeat with the maximum content exceeds the size of a datagram. It must be sent
+// without outcomes, but with all suspected targets and loads.
 func TestHeartbeatFitsADatagram(t *testing.T) {
 	loads := map[direct.TargetID]direct.Load{}
 	outcomes := map[direct.TargetID]direct.Outcome{}
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -27,10 +27,10 @@
 
 // lease keeps this balancer registered in the store.
 type lease struct {
-	id   int64
-	due  time.Duration
-	busy bool // a call is in progress
-	lost bool // the registration was removed during the call
+	id   int64         // lease ID in the store, 0 if there is none
+	due  time.Duration // when the next call is due
+	busy bool          // a call is in progress
+	lost bool          // the registration was removed during the call
 }
 
 // renewIfDue registers this balancer or renews its lease.
@@ -43,6 +43,7 @@
 	}
 	l.busy = true
 	id := l.id
+	// After a restart the lease of the previous process is renewed.
 	if m, ok := c.fleet.Registered(c.edge.registration()); ok && id == 0 && m.Control == c.edge.boot.Control {
 		id = m.Lease
 	}
@@ -80,6 +81,7 @@
 	l.revoked(c, now)
 }
 
+// renewed handles the result of register.
 func (l *lease) renewed(c *control, id int64, err error) {
 	l.busy = false
 	l.id = id
@@ -96,8 +98,9 @@
 	}
 }
 
-// register writes the registration and returns the lease in force, or 0. It runs on its
-// own goroutine.
+// register renews the lease id. If id is 0 or the store does not have the lease, it writes
+// the registration with a new one. It returns the lease in force, or 0. It runs on its own
+// goroutine.
 func (c *control) register(ctx context.Context, id int64) (int64, error) {
 	if id != 0 {
 		err := c.store.Keep(ctx, id)
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -14,7 +14,7 @@
 	}
 	c.lease.renewed(c, 6, nil)
 	if c.lease.id != 6 || c.lease.due <= c.now() {
-		t.Errorf("lease %d is due in %v after it was made", c.lease.id, c.lease.due-c.now())
+		t.Errorf("lease %d is due in %v after it was granted", c.lease.id, c.lease.due-c.now())
 	}
 }
 
@@ -24,10 +24,10 @@
 // sends heartbeats.
 func TestLeaseAfterTheStoreCameBack(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		lease      lease
-		registered int64 // lease of the registration in the replica, 0 for none
-		again      bool
+		name           string
+		lease          lease
+		registered     int64 // lease of the registration in the replica, 0 for none
+		registersAgain bool
 	}{
 		{"never registered", lease{}, 0, false},
 		{"lost", lease{id: 5}, 0, true},
@@ -47,8 +47,8 @@
 		if b.lease.busy {
 			b.lease.renewed(b, 5, nil)
 		}
-		if got := b.lease.id == 0 && b.lease.due <= b.now(); got != c.again {
-			t.Errorf("%s: registers again %v, want %v", c.name, got, c.again)
+		if got := b.lease.id == 0 && b.lease.due <= b.now(); got != c.registersAgain {
+			t.Errorf("%s: registers again %v, want %v", c.name, got, c.registersAgain)
 		}
 	}
 }
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -11,16 +11,20 @@
 
 // lostAfter is the silence after which a balancer that has not announced a stop counts as
 // lost. A killed process is back within 0.6 s, and two heartbeats to another data centre
-// may be lost. With 1.5 s instead, 26 and 16 requests were not served.
+// may be lost. With 1.5 s instead, 26 and 16 requests were not served in the two runs of
+// which yieldIfOutnumbered gives the figures.
 const lostAfter = 800 * time.Millisecond
 
 // yieldIfOutnumbered makes the routers use another data centre while this one has lost
-// most of its balancers. It only works in small fleets, where every balancer hears every
-// other.
+// most of its balancers. It only works in small fleets, where every balancer gets the
+// heartbeats of every other.
 //
-// With half of the VMs without power for 4 s, among them two of the three of a data
-// centre, 6 and 2 instead of 79 and 73 of 5,433 requests were not served, and the share
-// of requests served in the worst 2 s was 0.834 and 0.841 instead of 0.728 and 0.732.
+// Without this, callers would lose two of three packets while two of the three balancers
+// of their data centre are lost, as the routers use all balancers if fewer than half of
+// them are ready. In two runs with half of the VMs without power for 4 s, among them two
+// of the three of a data centre, 6 and 2 instead of 79 and 73 of 5,433 requests were not
+// served, and the share of requests served in the worst 2 s was 0.834 and 0.841 instead of
+// 0.728 and 0.732.
 func (c *control) yieldIfOutnumbered(now time.Duration) {
 	yield := c.fleet.Small() && !c.edge.without.Has(direct.Yield) && peer.Outnumbered(c.edge.boot.DataCenter, c.presences(now))
 	if c.edge.ready.setYielding(yield) == yield {
@@ -43,8 +47,8 @@
 }
 
 // isPresent reports whether a balancer counts as alive. This includes one that has
-// announced a planned stop, as its routers know of it, and one that has not been heard
-// yet because this balancer has just started.
+// announced a planned stop, as the routers know of it, and one from which no heartbeat has
+// arrived because this balancer has just started.
 func (c *control) isPresent(now time.Duration, vm string) bool {
 	n := c.peers[vm]
 	if n == nil {
--- a/internal/edge/outnumbered_test.go
+++ b/internal/edge/outnumbered_test.go
@@ -17,7 +17,7 @@
 		c.fleet.Put(vm, peer.Member{VM: vm, DataCenter: dc})
 	}
 	now := time.Duration(0)
-	hear := func(leaving bool, vms ...string) {
+	sendHeartbeats := func(leaving bool, vms ...string) {
 		for _, vm := range vms {
 			c.peers[vm] = &peerState{lastHeard: now, last: peer.Heartbeat{From: vm, Leaving: leaving}}
 		}
@@ -31,17 +31,17 @@
 	}
 	want("just started", true)
 	now = 10 * time.Second
-	hear(false, "a2", "a3", "b1", "b2")
-	want("all are heard", true)
+	sendHeartbeats(false, "a2", "a3", "b1", "b2")
+	want("all send heartbeats", true)
 	now += 2 * lostAfter
-	hear(false, "b1", "b2")
+	sendHeartbeats(false, "b1", "b2")
 	want("two of three are silent", false)
-	hear(false, "a2")
+	sendHeartbeats(false, "a2")
 	want("one is back", true)
 	now += 2 * lostAfter
-	hear(false, "b1", "b2")
-	hear(true, "a3")
+	sendHeartbeats(false, "b1", "b2")
+	sendHeartbeats(true, "a3")
 	want("one is silent, one stops as planned", true)
 	now += 2 * lostAfter
-	want("no other is heard", true)
+	want("all others are silent", true)
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -19,7 +19,8 @@
 const (
 	// peerSilent is the silence after which a balancer counts as inactive.
 	peerSilent = time.Second
-	// peerRetention is how long a silent balancer is remembered for the log.
+	// peerRetention is how long a silent balancer is remembered. For this time the status
+	// lists it, and the outcomes that it has reported count.
 	peerRetention = time.Minute
 	// loadRetention is how long the loads reported by a silent balancer count.
 	loadRetention = time.Second
@@ -114,14 +115,15 @@
 	}
 }
 
-// isActive reports whether a balancer is heard and is not stopping.
+// isActive reports whether a balancer sends heartbeats and is not stopping.
 func (n *peerState) isActive(now time.Duration) bool {
 	return now-n.lastHeard <= peerSilent && !n.last.Leaving
 }
 
 // hasActiveReader reports whether a balancer earlier in the order of readers reads the
 // store. A balancer whose replica is of an earlier era, or whose older version does not
-// support eras, proves nothing to this one and is not counted.
+// support eras, proves nothing to this one and is not counted. It also forgets balancers
+// that have been silent for longer than peerRetention.
 func (c *control) hasActiveReader(now time.Duration) bool {
 	for name, n := range c.peers {
 		if now-n.lastHeard > peerRetention {
@@ -135,8 +137,8 @@
 	return false
 }
 
-// peerLoads sums the loads of targets by the flows of the other balancers. The caller
-// must hold the forwarder's lock.
+// peerLoads sums the loads of targets by the flows of the other balancers. The
+// forwarder's lock must be held.
 func (c *control) peerLoads(now time.Duration) map[direct.TargetID]direct.Load {
 	out := map[direct.TargetID]direct.Load{}
 	for _, n := range c.peers {
@@ -155,8 +157,8 @@
 }
 
 // peerOutcomes sums the outcomes of requests of the other balancers of this data centre.
-// Reported outcomes decay like this balancer's own counts. The caller must hold the
-// forwarder's lock.
+// Reported outcomes decay like this balancer's own counts. The forwarder's lock must be
+// held.
 func (c *control) peerOutcomes(now time.Duration) map[direct.TargetID]direct.Outcome {
 	out := map[direct.TargetID]direct.Outcome{}
 	for _, n := range c.peers {
@@ -195,9 +197,9 @@
 //
 // Guards against a store that removes the registration of a live balancer and rejects
 // that balancer. Without heartbeats from others its replica would get old. Balancers that
-// still hear it therefore keep sending updates to it.
+// still get its heartbeats therefore keep sending updates to it.
 func (c *control) removeMember(key string) {
-	if c.isHeard(key) {
+	if c.isMemberActive(key) {
 		c.unregistered[key] = true
 		return
 	}
@@ -207,16 +209,17 @@
 	}
 }
 
-// isHeard reports whether the balancer with the given registration key sends heartbeats.
-func (c *control) isHeard(key string) bool {
+// isMemberActive reports whether the balancer with the given registration key sends
+// heartbeats and is not stopping.
+func (c *control) isMemberActive(key string) bool {
 	n := c.peers[strings.TrimPrefix(key, platform.MemberPrefix)]
 	return n != nil && n.isActive(c.now())
 }
 
-// forgetUnregistered removes balancers that have lost their registration and are silent.
+// forgetUnregistered removes balancers that have lost their registration and are inactive.
 func (c *control) forgetUnregistered() {
 	for key := range c.unregistered {
-		if !c.isHeard(key) {
+		if !c.isMemberActive(key) {
 			delete(c.unregistered, key)
 			c.fleet.Remove(key)
 		}
--- a/internal/edge/read.go
+++ b/internal/edge/read.go
@@ -14,14 +14,15 @@
 
 // readResult is the outcome of a read of the store.
 type readResult struct {
-	full      bool
+	full      bool // a listing instead of changes
 	items     []replica.Item
 	position  revision.Revision
 	startedAt time.Duration // the result is at least as recent as this
 	err       error
 }
 
-// readIfDue reads the store if this balancer is a reader.
+// readIfDue reads the store if this balancer is a reader, or lists it if it needs its first
+// copy and may do so.
 func (c *control) readIfDue(ctx context.Context, now time.Duration) {
 	if c.readBusy || now < c.readAt || c.leaving || !c.mayRead(now) {
 		return
@@ -33,8 +34,8 @@
 		ctx = c.firstCopyCtx
 	}
 	go func() {
-		l := c.read(ctx, now, position, full)
-		c.post(func() { c.handleRead(l) })
+		res := c.read(ctx, now, position, full)
+		c.post(func() { c.handleRead(res) })
 	}()
 }
 
@@ -70,50 +71,50 @@
 
 // read requests changes from the store, or lists it. It runs on its own goroutine.
 func (c *control) read(ctx context.Context, now time.Duration, position revision.Revision, full bool) readResult {
-	l := readResult{startedAt: now, full: full}
+	res := readResult{startedAt: now, full: full}
 	if !full {
-		l.items, l.position, l.err = c.store.Watch(ctx, position, 0)
-		if !errors.Is(l.err, platform.ErrCompacted) && !errors.Is(l.err, platform.ErrNewEra) {
-			return l
+		res.items, res.position, res.err = c.store.Watch(ctx, position, 0)
+		if !errors.Is(res.err, platform.ErrCompacted) && !errors.Is(res.err, platform.ErrNewEra) {
+			return res
 		}
 	}
-	l.full = true
-	l.items, l.position, l.err = c.store.List(ctx, "")
-	return l
+	res.full = true
+	res.items, res.position, res.err = c.store.List(ctx, "")
+	return res
 }
 
-func (c *control) handleRead(l readResult) {
+func (c *control) handleRead(res readResult) {
 	now := c.now()
 	c.readBusy = false
-	if l.full && l.err != nil && c.replica.Loaded() {
+	if res.full && res.err != nil && c.replica.Loaded() {
 		return // a peer has provided a copy in the meantime
 	}
-	if l.err == nil && l.position.Era < c.replica.Position().Era {
-		l.err = errors.Errorf("store: answer is of era %d, but the replica is of era %d", l.position.Era, c.replica.Position().Era)
+	if res.err == nil && res.position.Era < c.replica.Position().Era {
+		res.err = errors.Errorf("store: answer is of era %d, but the replica is of era %d", res.position.Era, c.replica.Position().Era)
 	}
-	c.readAt = max(l.startedAt, now-replica.ReadInterval) + c.reader.Done(l.err == nil)
-	c.logStoreState(l)
-	if l.err != nil {
+	c.readAt = max(res.startedAt, now-replica.ReadInterval) + c.reader.Done(res.err == nil)
+	c.logStoreState(res)
+	if res.err != nil {
 		c.edge.counts.readFailures.Add(1)
 		return
 	}
 	c.readDone = now
-	if l.full {
-		c.noteOutdated(l)
-		c.applyCopy(l.items, l.position, l.startedAt, "store")
+	if res.full {
+		c.noteOutdated(res)
+		c.applyCopy(res.items, res.position, res.startedAt, "store")
 		return
 	}
-	c.applyChanges(c.replica.Apply(l.items, l.position, l.startedAt), "store", l.startedAt)
+	c.applyChanges(c.replica.Apply(res.items, res.position, res.startedAt), "store", res.startedAt)
 }
 
 // noteOutdated logs a listing that arrives too late to change anything.
-func (c *control) noteOutdated(l readResult) {
-	if !c.replica.Outdated(l.position) {
+func (c *control) noteOutdated(res readResult) {
+	if !c.replica.Outdated(res.position) {
 		return
 	}
 	c.edge.counts.listingsOutdated.Add(1)
-	c.log.Warn("listing of the store is older than the copy and changes nothing", zap.Stringer("listing", l.position),
-		zap.Stringer("copy", c.replica.Position()), zap.Int("items", len(l.items)))
+	c.log.Warn("listing of the store is older than the copy and changes nothing", zap.Stringer("listing", res.position),
+		zap.Stringer("copy", c.replica.Position()), zap.Int("items", len(res.items)))
 }
 
 // applyChanges puts changes into force and records the time since they were requested.
@@ -125,14 +126,14 @@
 }
 
 // logStoreState logs when the store becomes unreachable and when it is reachable again.
-func (c *control) logStoreState(l readResult) {
-	if lost := l.err != nil; lost != c.storeLost {
+func (c *control) logStoreState(res readResult) {
+	if lost := res.err != nil; lost != c.storeLost {
 		c.storeLost = lost
 		if lost {
-			c.log.Warn("store lost", zap.Duration("age", c.replica.Age(c.now())), zap.Error(l.err))
+			c.log.Warn("store lost", zap.Duration("age", c.replica.Age(c.now())), zap.Error(res.err))
 		} else {
-			c.log.Info("store regained", zap.Duration("age", c.replica.Age(c.now())), zap.Stringer("position", l.position),
-				zap.Stringer("copy", c.replica.Position()), zap.Bool("listed", l.full))
+			c.log.Info("store regained", zap.Duration("age", c.replica.Age(c.now())), zap.Stringer("position", res.position),
+				zap.Stringer("copy", c.replica.Position()), zap.Bool("listed", res.full))
 		}
 	}
 }
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -9,8 +9,8 @@
 )
 
 // During an upgrade the balancer that reads the store for all does not support eras yet.
-// Its heartbeats prove nothing to the others, whose replicas would get old as long as
-// they counted it as their reader.
+// Its heartbeats prove nothing to the others, whose replicas would get old while they
+// counted it as the active reader.
 func TestReaderOfAnEarlierEraDoesNotCount(t *testing.T) {
 	c := newTestControl(t)
 	c.replica.Replace(nil, revision.Revision{Era: 1, Number: 30}, 0)
--- a/internal/edge/ready.go
+++ b/internal/edge/ready.go
@@ -15,7 +15,7 @@
 // ready answers the routers' readiness probes.
 type ready struct {
 	srv *http.Server
-	ok  atomic.Bool
+	ok  atomic.Bool // this balancer can serve
 	// yielding tells that other data centres should serve; see yieldIfOutnumbered.
 	yielding atomic.Bool
 }
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -36,7 +36,7 @@
 	x.Reg.Born = time.Now().UnixMilli()
 	x.Register()
 	fl := d.openFlowAt(d.balancers[0], x)
-	time.Sleep(2500 * time.Millisecond) // the flow is older than any start that is still unknown
+	time.Sleep(2500 * time.Millisecond) // a younger flow may belong to the new start and would not be reset
 	x.Stop()
 	if err := x.Restart(time.Now().UnixMilli()); err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 }
 
 // A caller opens a flow at a target that has just restarted, through a balancer that does
-// not know of the restart, as the store is unreachable. The flow must go on when the
+// not know of the restart, as the store is unreachable. The flow must continue when the
 // store is reachable again.
 func TestFlowOfANewStartThatIsNotKnownYet(t *testing.T) {
 	t.Parallel()
@@ -90,8 +90,8 @@
 }
 
 // Another program repeatedly writes an invalid registration under a target's key. New
-// flows must go to the other targets, the open flow must go on, and the log must have one
-// line for each change instead of each write.
+// flows must go to the other targets, the open flow must continue, and the log must have
+// one line for each change instead of each write.
 func TestEntryOfAnotherWriter(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
@@ -152,7 +152,7 @@
 }
 
 // Another program writes invalid entries under the balancers' key prefix. They must not
-// count as balancers, and the balancers must continue to hear each other.
+// count as balancers, and the balancers must still get each other's heartbeats.
 func TestEntryOfAnotherWriterAmongMembers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
--- a/internal/edge/servechanges.go
+++ b/internal/edge/servechanges.go
@@ -28,8 +28,8 @@
 //
 // Guards against a balancer that loses power while it receives a full copy. Its slot
 // would stay occupied for minutes, until the kernel ends the connection, and this source
-// would hand out no other copies. The client gives up after fetchTimeout, so writes need
-// no longer than that.
+// would hand out no other copies. The client's timeout is fetchTimeout, so a longer write
+// is of no use.
 func (c *control) serve() error {
 	ln, err := net.Listen("tcp4", c.edge.boot.Control.String())
 	if err != nil {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// serveChanges handles requests for changes. It runs on the server's goroutines.
+// serveChanges handles requests for changes. Those after revision 0 are for a full copy. It
+// runs on the server's goroutines.
 func (c *control) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -136,8 +137,9 @@
 	return strconv.ParseInt(r.URL.Query().Get("era"), 10, 64)
 }
 
-// changes returns the changes after a revision of an era. It returns all items if they
-// are no longer known or the era differs from this replica's.
+// changes returns the changes after a revision of an era. It returns all items if the
+// revision is 0, not all changes after it are known, or the era differs from this
+// replica's, and nil if there is no replica yet.
 func (c *control) changes(after, era int64) *peer.Changes {
 	if !c.replica.Loaded() {
 		return nil
--- a/internal/edge/settle_test.go
+++ b/internal/edge/settle_test.go
@@ -42,8 +42,8 @@
 
 // A target registers, gets a flow and announces that it leaves. The store is restored
 // from a copy that lacks the target, which registers again seconds later. The flow must
-// go on in the meantime. Without settling, a missing target that had announced its leave
-// would count as gone, and its flows would be reset.
+// continue in the meantime. Without settling, a missing target that had announced that it
+// leaves would count as gone, and its flows would be reset.
 func TestOpenFlowAtTargetThatTheOlderCopyLacks(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
--- a/internal/edge/sources.go
+++ b/internal/edge/sources.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// copyWait is how long a starting source delays requests for its copy: about the time
-	// that listing the store takes.
+	// copyWait is how long a request for a full copy waits for this balancer's replica and
+	// for a free slot: about the time that listing the store takes.
 	copyWait = 300 * time.Millisecond
 	// sourcesInterval is the minimum interval between two writes of the sources, and the
 	// delay of the first one. Balancers that start together have registered by then.
--- a/internal/edge/sources_test.go
+++ b/internal/edge/sources_test.go
@@ -30,7 +30,7 @@
 	d.store.PutRaw(platform.SourcesPrefix+"a", v)
 }
 
-// When all VMs of a data centre start at once, the listings of the store take as long as
+// When all VMs of a data centre start at once, each listing of the store takes as long as
 // all of them together. A balancer that starts while there are bootstrap sources must not
 // need a listing to be ready, to serve and to register.
 func TestSourcesHandOutFirstCopies(t *testing.T) {
@@ -130,22 +130,22 @@
 	}
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
-	for _, ask := range []struct {
+	for _, request := range []struct {
 		after  string
 		status int
 	}{{"0", http.StatusOK}, {"rubbish", http.StatusBadRequest}} {
-		if _, err := fmt.Fprintf(c, "GET %s?after=%s HTTP/1.1\r\nHost: x\r\n\r\n", changesPath, ask.after); err != nil {
+		if _, err := fmt.Fprintf(c, "GET %s?after=%s HTTP/1.1\r\nHost: x\r\n\r\n", changesPath, request.after); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("after=%s: %v", ask.after, err)
+			t.Fatalf("after=%s: %v", request.after, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			t.Fatal(err)
 		}
-		if resp.StatusCode != ask.status {
-			t.Errorf("after=%s: status %d, want %d", ask.after, resp.StatusCode, ask.status)
+		if resp.StatusCode != request.status {
+			t.Errorf("after=%s: status %d, want %d", request.after, resp.StatusCode, request.status)
 		}
 		time.Sleep(fetchTimeout + 100*time.Millisecond)
 	}
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -8,11 +8,12 @@
 	"rosedale.dev/rosedale/internal/direct"
 )
 
-// Status is the state of a balancer as shown to operators.
+// Status is the state of a balancer as shown to operators. Durations are encoded in
+// nanoseconds.
 type Status struct {
 	VM         string                  `json:"vm"`
 	DataCenter string                  `json:"data_center"`
-	Up         time.Duration           `json:"up"`
+	Up         time.Duration           `json:"up"` // time since the start
 	Ready      bool                    `json:"ready"`
 	Leaving    bool                    `json:"leaving"`
 	Version    int64                   `json:"version"`  // of the catalogue in force
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// A balancer that is not the first one reads the store itself for a while, as it heard no
-// others, and its reads fail. Once it hears others again it must follow them instead of
-// waiting for its own reads.
+// A balancer that is not the first one reads the store itself for a while, as its replica
+// got old, and its reads fail. Once others read the store again it must follow their
+// heartbeats instead of waiting for its own reads.
 func TestFailingReaderFollowsPeers(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
@@ -131,8 +131,8 @@
 }
 
 // The store removes a balancer's registration and rejects the balancer's calls. Its peers
-// still hear it and must keep sending updates to it, so that its replica stays as fresh
-// as theirs.
+// still get its heartbeats and must keep sending updates to it, so that its replica stays
+// as fresh as theirs.
 func TestUnregisteredBalancerGetsUpdates(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
--- a/internal/edge/targets_test.go
+++ b/internal/edge/targets_test.go
@@ -10,7 +10,7 @@
 )
 
 // A target announces that it leaves. After the time limit no balancer may open flows
-// there, while its open flows go on.
+// there, while its open flows continue.
 func TestDrainingTargetGetsNoNewFlows(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
--- a/internal/edge/times.go
+++ b/internal/edge/times.go
@@ -8,8 +8,8 @@
 	"rosedale.dev/rosedale/internal/metrics"
 )
 
-// timeBuckets range from the handling of a packet on a fast machine to the time in which
-// changes have to be in force, in steps of about two and a half.
+// timeBuckets range from the handling of a packet on a fast machine to more than the 3 s
+// in which changes have to be in force, in steps of about two and a half.
 var timeBuckets = tally.DurationBuckets{
 	20 * time.Microsecond, 50 * time.Microsecond, 125 * time.Microsecond, 300 * time.Microsecond, 800 * time.Microsecond,
 	2 * time.Millisecond, 5 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond,
@@ -19,9 +19,9 @@
 // times holds the latency histograms. It implements direct.Times.
 type times struct {
 	forward  tally.Histogram // from a packet's arrival in the process to its departure
-	opened   tally.Histogram
-	answered tally.Histogram
-	detected tally.Histogram
+	opened   tally.Histogram // see direct.Times.Opened
+	answered tally.Histogram // see direct.Times.Answered
+	detected tally.Histogram // see direct.Times.Detected
 	change   tally.Histogram // from the request for a change until it is in force
 	age      tally.Histogram // of the replica, at each tick
 }
