--- a/internal/direct/full_test.go
+++ b/internal/direct/full_test.go
@@ -118,7 +118,7 @@
 	if n := check(); n != 0 {
 		t.Errorf("%d flows are reset while the target answers its queue", n)
 	}
-	b.now += b.f.CheckPatience("s")
+	b.now += b.f.CheckTimeout("s")
 	b.ask(1, streams, id, 101, 1000)
 	if n := check(); n != 1 {
 		t.Errorf("%d flows are reset once the target is silent, want 1", n)
--- a/internal/direct/patience.go
+++ b/internal/direct/patience.go
@@ -34,7 +34,7 @@
 	return max(answerPatience, time.Duration(slowFactor*u.took))
 }
 
-// CheckPatience returns how long a target of a service may take to answer a check.
+// CheckTimeout returns how long a target of a service may take to answer a check.
 //
 // Failure: in a burst targets have ten requests of 60 ms in hand, a check waits behind
 // them for longer than a fixed 0.2 s, and the target is taken for dead. It shows as open
@@ -45,7 +45,7 @@
 // burst of 1.8 beside a loss of VMs and five dark targets, and 248 instead of 3,280
 // suspicions were told to peers. In simulated time none instead of nine living targets
 // were found dead in three bursts (TestFullTargetsAreNotTakenForDead).
-func (f *Forwarder) CheckPatience(service string) time.Duration {
+func (f *Forwarder) CheckTimeout(service string) time.Duration {
 	took := float64(firstAnswer)
 	known := false
 	for address, u := range f.ends.usuals {
--- a/internal/direct/replaycheck_test.go
+++ b/internal/direct/replaycheck_test.go
@@ -25,7 +25,7 @@
 func (r *replay) checkLiving(b *balancer, s *simTarget) {
 	limit := r.checkLimit
 	if limit == 0 {
-		limit = b.f.CheckPatience(s.Service)
+		limit = b.f.CheckTimeout(s.Service)
 	}
 	found := false
 	end := func(x Finding) func() {
--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -198,7 +198,7 @@
 // callers repeat before their turn comes, so that the target must also have shown no
 // life for as long as the queue takes.
 func (f *Forwarder) hasEnded(now time.Duration, t *target) bool {
-	return !t.Draining || t.mute() && now-t.progress > f.CheckPatience(t.Service)
+	return !t.Draining || t.mute() && now-t.progress > f.CheckTimeout(t.Service)
 }
 
 // mute reports whether more than the checks speaks against the target.
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -65,5 +65,5 @@
 func (e *Edge) healthCheck(service string) (path string, patience time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.forward.HealthPath(service), e.forward.CheckPatience(service)
+	return e.forward.HealthPath(service), e.forward.CheckTimeout(service)
 }
