--- a/internal/direct/grade.go
+++ b/internal/direct/grade.go
@@ -38,7 +38,7 @@
 	queue    waits                     // requests that wait to be judged
 	doubtful map[*target]bool          // targets that failed requests lately
 	counts   [answers]uint64           // of requests, by how they ended
-	news     []GradeNews               // see GradeNews
+	news     []OutlierChange               // see GradeNews
 	badSeen  bool                      // see BadSeen
 	spread   int                       // see SetPeerOutcomes
 }
@@ -95,8 +95,8 @@
 	return n
 }
 
-// GradeNews is a change of belief about a target.
-type GradeNews struct {
+// OutlierChange is a change of belief about a target.
+type OutlierChange struct {
 	Target  TargetID
 	Failing bool
 	Share   float64 // of bad requests above that of its service
@@ -110,14 +110,14 @@
 		return
 	}
 	t.failing = failing
-	f.ends.news = append(f.ends.news, GradeNews{t.ID, failing, share, t.record.Outcome, t.peerOutcome})
+	f.ends.news = append(f.ends.news, OutlierChange{t.ID, failing, share, t.record.Outcome, t.peerOutcome})
 }
 
 // maxGradeNews bounds the changes that wait to be taken.
 const maxGradeNews = 64
 
 // GradeNews returns the changes of belief since the last call.
-func (f *Forwarder) GradeNews() []GradeNews {
+func (f *Forwarder) GradeNews() []OutlierChange {
 	out := f.ends.news
 	f.ends.news = nil
 	return out
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -29,7 +29,7 @@
 
 // logGrades writes a line for each target that has begun or ceased to fail
 // requests.
-func (c *control) logGrades(news []direct.GradeNews) {
+func (c *control) logGrades(news []direct.OutlierChange) {
 	for _, g := range news {
 		outcome := "target answers well again"
 		if g.Failing {
