--- a/internal/direct/grade.go
+++ b/internal/direct/grade.go
@@ -116,8 +116,8 @@
 // maxGradeNews bounds the changes that wait to be taken.
 const maxGradeNews = 64
 
-// GradeNews returns the changes of belief since the last call.
-func (f *Forwarder) GradeNews() []OutlierChange {
+// OutlierChanges returns the changes of belief since the last call.
+func (f *Forwarder) OutlierChanges() []OutlierChange {
 	out := f.ends.news
 	f.ends.news = nil
 	return out
--- a/internal/direct/outcome_test.go
+++ b/internal/direct/outcome_test.go
@@ -25,13 +25,13 @@
 			t.Errorf("flow %d went to the target that fails", port)
 		}
 	}
-	news := b.f.GradeNews()
+	news := b.f.OutlierChanges()
 	if len(news) != 1 || news[0].Target != 1 || !news[0].Failing {
 		t.Fatalf("news is %+v, want that target 1 fails", news)
 	}
 	b.now += 6 * outcomeMemory
 	b.f.Tick(b.now)
-	if news = b.f.GradeNews(); len(news) != 1 || news[0].Failing {
+	if news = b.f.OutlierChanges(); len(news) != 1 || news[0].Failing {
 		t.Errorf("news is %+v, want that target 1 answers well again", news)
 	}
 	if x := b.state(1); x.extra > 0.1 {
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -182,7 +182,7 @@
 	}
 	e.forward.SetPeerOutcomes(c.peerOutcomes(now), len(c.fleet.Near())+1)
 	e.forward.Tick(now)
-	grades := e.forward.GradeNews()
+	grades := e.forward.OutlierChanges()
 	e.mu.Unlock()
 	c.logGrades(grades)
 	c.checkSuspects(ctx, now)
