--- a/internal/direct/model_test.go
+++ b/internal/direct/model_test.go
@@ -105,11 +105,11 @@
 			continue
 		}
 		if m.hasty {
-			f.SetProven(m.now + time.Hour)
+			f.SetListCompleteAt(m.now + time.Hour)
 		}
 		m.reset(f.PutTarget(m.now, t.Target), ResetRestarted)
 	}
-	f.SetProven(m.now)
+	f.SetListCompleteAt(m.now)
 }
 
 func (m *model) byID(id TargetID) *modelTarget {
--- a/internal/direct/modelrestart_test.go
+++ b/internal/direct/modelrestart_test.go
@@ -70,6 +70,6 @@
 		}
 	}
 	if m.gullible {
-		f.SetProven(m.now)
+		f.SetListCompleteAt(m.now)
 	}
 }
--- a/internal/direct/news_test.go
+++ b/internal/direct/news_test.go
@@ -14,7 +14,7 @@
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
 	b.now += 5 * time.Second // the store is away: the list gets older
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.want(b.handle(packet(1, streams, ACK, 77)), ResetUnknown)
 	b.f.PutTarget(b.now, target1(77, "a"))
 	b.want(b.handle(packet(1, streams, ACK, 77)), Forwarded)
@@ -95,7 +95,7 @@
 	b.want(b.handle(packet(3, streams, SYN, 0)), ResetNoRoute)
 	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
 	b.now += time.Second
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.want(b.ask(1, streams, id, 401, 1000), ResetNoRoute)
 	b.want(b.ask(2, notes, other, 101, 1000), Forwarded)
 }
@@ -110,6 +110,6 @@
 	c.Routes[added] = Route{Address: added, Backends: []Backend{{"s", 1}}}
 	b.f.SetCatalogue(c)
 	b.now += time.Minute
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.want(b.handle(packet(1, added, ACK, 1)), Forwarded)
 }
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -22,7 +22,7 @@
 	b.open(2, streams)
 	b.open(3, notes)
 	b.now += startMargin + 10*time.Millisecond
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.ask(2, streams, 1, 101, 1000)
 	b.ask(3, notes, 1, 101, 1000)
 	return b
@@ -217,12 +217,12 @@
 	b.f.DisableTarget(77)
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
 	b.now += 5 * time.Second
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
 	b.f.RemoveTarget(b.now, 77)
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
 	b.now += time.Second
-	b.f.SetProven(b.now)
+	b.f.SetListCompleteAt(b.now)
 	b.want(b.handle(packet(1, streams, ACK, 77)), ResetUnknown)
 }
 
--- a/internal/direct/unknown.go
+++ b/internal/direct/unknown.go
@@ -38,8 +38,8 @@
 	strangeMemory = time.Minute
 )
 
-// SetProven says when the list of targets was last known to be complete.
-func (f *Forwarder) SetProven(at time.Duration) { f.proven = at }
+// SetListCompleteAt says when the list of targets was last known to be complete.
+func (f *Forwarder) SetListCompleteAt(at time.Duration) { f.proven = at }
 
 // dropped reports whether the route of an open flow is gone for certain.
 //
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -173,7 +173,7 @@
 	c.tellFleet()
 	e := c.edge
 	e.mu.Lock()
-	e.forward.SetProven(c.settling.Proven(now, now-age))
+	e.forward.SetListCompleteAt(c.settling.Proven(now, now-age))
 	if c.fleet.Small() {
 		e.forward.SetHomes(1)
 		e.forward.SetPeerLoads(c.peerLoads(now))
