--- a/internal/direct/news.go
+++ b/internal/direct/news.go
@@ -241,9 +241,9 @@
 	return out
 }
 
-// SetHomes says among how many balancers a target's flows are spread whose loads
+// SetFlowSpread says among how many balancers a target's flows are spread whose loads
 // are not told: 1 if all are. Loads told before are forgotten as they get old.
-func (f *Forwarder) SetHomes(n int) {
+func (f *Forwarder) SetFlowSpread(n int) {
 	if n > 1 && f.homes == 1 {
 		f.SetPeerLoads(nil)
 	}
--- a/internal/direct/replay_test.go
+++ b/internal/direct/replay_test.go
@@ -194,7 +194,7 @@
 		if len(r.balancers) <= simSmall {
 			b.f.SetPeerLoads(others(loads, i, Load.Plus))
 		} else {
-			b.f.SetHomes(r.inCentre(b.centre))
+			b.f.SetFlowSpread(r.inCentre(b.centre))
 		}
 		b.f.Tick(r.now)
 		r.check(b)
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -175,10 +175,10 @@
 	e.mu.Lock()
 	e.forward.SetListCompleteAt(c.settling.Proven(now, now-age))
 	if c.fleet.Small() {
-		e.forward.SetHomes(1)
+		e.forward.SetFlowSpread(1)
 		e.forward.SetPeerLoads(c.peerLoads(now))
 	} else {
-		e.forward.SetHomes(len(c.fleet.Near()) + 1)
+		e.forward.SetFlowSpread(len(c.fleet.Near()) + 1)
 	}
 	e.forward.SetPeerOutcomes(c.peerOutcomes(now), len(c.fleet.Near())+1)
 	e.forward.Tick(now)
