--- a/internal/direct/news.go
+++ b/internal/direct/news.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// Named reports whether the catalogue has a service. Targets of others get no flows,
+// HasService reports whether the catalogue has a service. Targets of others get no flows,
 // as no route leads there, until a version of the catalogue names it.
-func (f *Forwarder) Named(service string) bool {
+func (f *Forwarder) HasService(service string) bool {
 	if f.catalogue == nil {
 		return false
 	}
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -111,7 +111,7 @@
 	t.Revision = c.replica.Position().At(i.Revision)
 	c.edge.mu.Lock()
 	lost := c.edge.forward.PutTarget(now, t)
-	named := c.edge.forward.Named(t.Service)
+	named := c.edge.forward.HasService(t.Service)
 	c.edge.mu.Unlock()
 	c.resetFlows(now, lost, direct.ResetRestarted, id)
 	if c.version > 0 && !named {
