--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -138,8 +138,8 @@
 // flows go on.
 func (x Finding) unanswered() bool { return x == Silent || x == Hung }
 
-// Verdict is what a check has changed.
-type Verdict struct {
+// CheckResult is what a check has changed.
+type CheckResult struct {
 	// News tells that others should hear of a new suspicion or a dead target.
 	News bool
 	// Resets are the flows to reset at once: they wait for a dead target.
@@ -148,24 +148,24 @@
 
 // Checked takes the outcome of this balancer's own check of one start of a target.
 // An outcome that comes when another start is known says nothing of that one.
-func (f *Forwarder) Checked(now time.Duration, of Start, x Finding) Verdict {
+func (f *Forwarder) Checked(now time.Duration, of Start, x Finding) CheckResult {
 	t := f.targets[of.ID]
 	if t == nil || t.Start() != of {
-		return Verdict{}
+		return CheckResult{}
 	}
 	if t.checking {
 		t.checking = false
 		f.checking--
 	}
 	if f.witnessed(t, x) {
-		return Verdict{}
+		return CheckResult{}
 	}
 	if x == Alive || x.unanswered() && t.progress > t.checked {
 		t.clear()
-		return Verdict{}
+		return CheckResult{}
 	}
 	f.suspect(t)
-	v := Verdict{News: t.finding == Alive && !t.told}
+	v := CheckResult{News: t.finding == Alive && !t.told}
 	t.finding = x
 	t.failed++
 	if x == Hung {
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -70,7 +70,7 @@
 	if b.state(silent).eligible(b.now) {
 		t.Error("new flows still go to the silent target")
 	}
-	var v Verdict
+	var v CheckResult
 	for range confirmChecks {
 		if !b.f.Due() && len(b.f.Suspects(b.now)) == 0 {
 			t.Fatal("the silent target is not checked")
