--- a/internal/direct/replaycheck_test.go
+++ b/internal/direct/replaycheck_test.go
@@ -45,7 +45,7 @@
 
 func (r *replay) checked(b *balancer, s *simTarget, x Finding) {
 	v := b.f.Checked(r.now, Start{ID: s.ID}, x)
-	if v.News {
+	if v.Notify {
 		r.tell(b, s.ID, slices.Contains(b.f.FoundDead(), s.ID))
 	}
 	for _, seg := range v.Resets {
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -128,7 +128,7 @@
 		t.Fatalf("%d checks, want 1", len(checked))
 	}
 	b.f.PutTarget(b.now, started(1, 5000, 20))
-	if v := b.f.Checked(b.now, checked[0].Start(), Gone); v.News || b.state(1).dead {
+	if v := b.f.Checked(b.now, checked[0].Start(), Gone); v.Notify || b.state(1).dead {
 		t.Error("a check of the older start was taken for one of the new")
 	}
 	if b.f.checking != 0 {
@@ -144,7 +144,7 @@
 // ones stay, as some may belong to the new start.
 func TestCheckFindsAnotherStart(t *testing.T) {
 	b := older(t)
-	if v := b.f.Checked(b.now, started(1, 1000, 10).Start(), Restarted); len(v.Resets) != 0 || !v.News {
+	if v := b.f.Checked(b.now, started(1, 1000, 10).Start(), Restarted); len(v.Resets) != 0 || !v.Notify {
 		t.Errorf("verdict %+v", v)
 	}
 	b.want(b.handle(packet(9, streams, SYN, 0)), ResetNoTarget)
--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -140,8 +140,8 @@
 
 // CheckResult is what a check has changed.
 type CheckResult struct {
-	// News tells that others should hear of a new suspicion or a dead target.
-	News bool
+	// Notify tells that others should hear of a new suspicion or a dead target.
+	Notify bool
 	// Resets are the flows to reset at once: they wait for a dead target.
 	Resets []Segment
 }
@@ -165,7 +165,7 @@
 		return CheckResult{}
 	}
 	f.suspect(t)
-	v := CheckResult{News: t.finding == Alive && !t.told}
+	v := CheckResult{Notify: t.finding == Alive && !t.told}
 	t.finding = x
 	t.failed++
 	if x == Hung {
@@ -185,7 +185,7 @@
 	if t.dead {
 		t.lostAt = t.checked
 	}
-	v.News = v.News || len(v.Resets) > 0 && t.waited
+	v.Notify = v.Notify || len(v.Resets) > 0 && t.waited
 	return v
 }
 
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -103,10 +103,10 @@
 		t.Fatal("the target is not checked")
 	}
 	v := b.f.Checked(b.now, Start{ID: id}, Gone)
-	if len(v.Resets) != 1 || !v.News {
+	if len(v.Resets) != 1 || !v.Notify {
 		t.Errorf("verdict %+v, want one reset and news", v)
 	}
-	if again := b.f.Checked(b.now, Start{ID: id}, Gone); len(again.Resets) != 0 || again.News {
+	if again := b.f.Checked(b.now, Start{ID: id}, Gone); len(again.Resets) != 0 || again.Notify {
 		t.Errorf("second verdict %+v, want nothing new", again)
 	}
 }
@@ -200,7 +200,7 @@
 		b.handle(answered)
 		b.now += 170 * time.Millisecond
 		b.live(id)
-		if v := b.f.Checked(b.now, Start{ID: id}, Silent); len(v.Resets) > 0 || v.News {
+		if v := b.f.Checked(b.now, Start{ID: id}, Silent); len(v.Resets) > 0 || v.Notify {
 			t.Fatalf("verdict %+v on a living target", v)
 		}
 	}
--- a/internal/edge/checks.go
+++ b/internal/edge/checks.go
@@ -51,7 +51,7 @@
 	if x != direct.Alive {
 		c.edge.counts.checksFailed.Add(1)
 	}
-	if v.News {
+	if v.Notify {
 		c.alarmDue = true
 		c.alarmIfDue(now)
 	}
