--- a/internal/direct/dark_test.go
+++ b/internal/direct/dark_test.go
@@ -60,7 +60,7 @@
 		b.now += time.Second
 		b.live(id)
 		b.f.PeerSuspects(b.now, id)
-		if len(b.f.Suspects(b.now)) != 1 {
+		if len(b.f.TargetsToCheck(b.now)) != 1 {
 			t.Fatal("the target is not checked")
 		}
 		b.now += 200 * time.Millisecond
@@ -77,7 +77,7 @@
 		if want := map[bool]int{false: 2, true: 0}[answers]; len(lost) != want { // with that of live
 			t.Errorf("answers %v: %d flows are reset, want %d", answers, len(lost), want)
 		}
-		if again := b.f.PeerFoundDead(b.now+tick, id); len(again) != 0 || len(b.f.Suspects(b.now+tick)) != 0 {
+		if again := b.f.PeerFoundDead(b.now+tick, id); len(again) != 0 || len(b.f.TargetsToCheck(b.now+tick)) != 0 {
 			t.Errorf("answers %v: the peer's word is acted on again", answers)
 		}
 	}
@@ -99,17 +99,17 @@
 		s.Seq, s.Ack = seq, ack
 		b.handle(s)
 	}
-	b.f.Suspects(b.now)
+	b.f.TargetsToCheck(b.now)
 	b.now += time.Second
 	b.ask(1, streams, id, seq, ack)
 	b.now += work
 	b.f.Tick(b.now)
-	if n := len(b.f.Suspects(b.now)); n != 0 {
+	if n := len(b.f.TargetsToCheck(b.now)); n != 0 {
 		t.Error("the target is checked though the answer is not late")
 	}
 	b.now += slowFactor * work
 	b.f.Tick(b.now)
-	if n := len(b.f.Suspects(b.now)); n != 1 {
+	if n := len(b.f.TargetsToCheck(b.now)); n != 1 {
 		t.Error("the target is not checked though the answer is overdue")
 	}
 }
@@ -128,7 +128,7 @@
 	check := func(x Finding) {
 		t.Helper()
 		b.now += time.Millisecond
-		if len(b.f.Suspects(b.now)) != 1 {
+		if len(b.f.TargetsToCheck(b.now)) != 1 {
 			t.Fatal("the target is not checked")
 		}
 		b.f.Checked(b.now, Start{ID: id}, x)
--- a/internal/direct/full_test.go
+++ b/internal/direct/full_test.go
@@ -107,7 +107,7 @@
 	b.ask(1, streams, id, 101, 1000)
 	check := func() int {
 		t.Helper()
-		if len(b.f.Suspects(b.now)) == 0 {
+		if len(b.f.TargetsToCheck(b.now)) == 0 {
 			t.Fatal("the target is not checked")
 		}
 		b.now += time.Millisecond
--- a/internal/direct/lapse_test.go
+++ b/internal/direct/lapse_test.go
@@ -14,7 +14,7 @@
 	for _, id := range []TargetID{1, 2, 3} {
 		b.f.RemoveTarget(b.now, id)
 	}
-	if got := b.f.Suspects(b.now); len(got) != 1 || got[0].ID != used {
+	if got := b.f.TargetsToCheck(b.now); len(got) != 1 || got[0].ID != used {
 		t.Errorf("%d targets to check, want the one that has a flow", len(got))
 	}
 }
@@ -24,12 +24,12 @@
 func TestLapsedTargetIsCheckedOnceAFlowComes(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	b.f.RemoveTarget(b.now, 1)
-	if got := b.f.Suspects(b.now); len(got) != 0 {
+	if got := b.f.TargetsToCheck(b.now); len(got) != 0 {
 		t.Fatalf("%d targets to check without a flow", len(got))
 	}
 	b.want(b.ask(1, streams, 1, 101, 1000), Forwarded)
 	b.now += time.Millisecond
-	if got := b.f.Suspects(b.now); len(got) != 1 {
+	if got := b.f.TargetsToCheck(b.now); len(got) != 1 {
 		t.Fatalf("%d targets to check, want the one whose flow came", len(got))
 	}
 	b.want(b.ask(1, streams, 1, 401, 1000), Forwarded)
@@ -44,7 +44,7 @@
 	b := newFixture(t, target1(1, "a"))
 	b.f.RemoveTarget(b.now, 1)
 	b.ask(1, streams, 1, 101, 1000)
-	b.f.Suspects(b.now)
+	b.f.TargetsToCheck(b.now)
 	b.f.Checked(b.now, Start{ID: 1}, Alive)
 	b.now += 10 * time.Millisecond
 	b.want(b.ask(1, streams, 1, 401, 1300), Forwarded)
--- a/internal/direct/model_test.go
+++ b/internal/direct/model_test.go
@@ -221,7 +221,7 @@
 		x.ended = rapid.Bool().Draw(t, "ended") || x.ended
 		x.closed = rapid.Bool().Draw(t, "closed") && m.announced(x) || x.closed
 	case 9:
-		for _, want := range m.balancers[i].Suspects(m.now) {
+		for _, want := range m.balancers[i].TargetsToCheck(m.now) {
 			m.checked(i, m.byID(want.ID), true)
 		}
 		if m.careless {
--- a/internal/direct/news_test.go
+++ b/internal/direct/news_test.go
@@ -63,7 +63,7 @@
 	id := b.open(1, streams)
 	b.f.RemoveTarget(b.now, id)
 	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
-	if got := b.f.Suspects(b.now); len(got) != 1 {
+	if got := b.f.TargetsToCheck(b.now); len(got) != 1 {
 		t.Fatalf("%d targets to check, want the lapsed one", len(got))
 	}
 	b.f.Checked(b.now, Start{ID: id}, Alive)
--- a/internal/direct/ownlink_test.go
+++ b/internal/direct/ownlink_test.go
@@ -18,7 +18,7 @@
 		for p, id := range flows {
 			b.ask(p, streams, id, 101, 1000)
 		}
-		for _, x := range b.f.Suspects(b.now) {
+		for _, x := range b.f.TargetsToCheck(b.now) {
 			if v := b.f.Checked(b.now+150*time.Millisecond, x.Start(), Silent); len(v.Resets) > 0 {
 				t.Fatalf("flows of target %d are reset", x.ID)
 			}
@@ -49,7 +49,7 @@
 			if !choked {
 				b.alive(5)
 			}
-			for checks := b.f.Suspects(b.now); len(checks) > 0; checks = b.f.Suspects(b.now) {
+			for checks := b.f.TargetsToCheck(b.now); len(checks) > 0; checks = b.f.TargetsToCheck(b.now) {
 				resets += b.carryOut(checks, func(id TargetID) bool { return id >= 5 && !choked })
 				b.now += confirmPause
 			}
--- a/internal/direct/replaycheck_test.go
+++ b/internal/direct/replaycheck_test.go
@@ -7,7 +7,7 @@
 
 // check carries out the checks a balancer wants.
 func (r *replay) check(b *balancer) {
-	for _, t := range b.f.Suspects(r.now) {
+	for _, t := range b.f.TargetsToCheck(r.now) {
 		s := r.byID[t.ID]
 		switch {
 		case s.dead:
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -88,7 +88,7 @@
 	if d := b.handle(packet(9, streams, SYN, 0)); d.Verb != Forward {
 		t.Errorf("opening: %v", d.Reason)
 	}
-	if n := len(b.f.Suspects(b.now)); n != 0 {
+	if n := len(b.f.TargetsToCheck(b.now)); n != 0 {
 		t.Errorf("%d targets to check, want none", n)
 	}
 }
@@ -123,7 +123,7 @@
 	b := older(t)
 	b.f.suspect(b.state(1))
 	b.state(1).verify = true
-	checked := b.f.Suspects(b.now)
+	checked := b.f.TargetsToCheck(b.now)
 	if len(checked) != 1 {
 		t.Fatalf("%d checks, want 1", len(checked))
 	}
--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -72,8 +72,8 @@
 	return slices.SortedFunc(maps.Keys(set), func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Suspects returns the targets to check now.
-func (f *Forwarder) Suspects(now time.Duration) []Target {
+// TargetsToCheck returns the targets to check now.
+func (f *Forwarder) TargetsToCheck(now time.Duration) []Target {
 	var out []Target
 	for _, t := range inOrder(f.suspects) {
 		if f.checking >= maxChecks {
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -72,10 +72,10 @@
 	}
 	var v CheckResult
 	for range confirmChecks {
-		if !b.f.Due() && len(b.f.Suspects(b.now)) == 0 {
+		if !b.f.Due() && len(b.f.TargetsToCheck(b.now)) == 0 {
 			t.Fatal("the silent target is not checked")
 		}
-		b.f.Suspects(b.now)
+		b.f.TargetsToCheck(b.now)
 		b.now += 150 * time.Millisecond
 		b.live(silent)
 		v = b.f.Checked(b.now, Start{ID: silent}, Silent)
@@ -99,7 +99,7 @@
 	b.ask(1, notes, id, 101, 1000)
 	b.now += answerPatience
 	b.f.Tick(b.now)
-	if len(b.f.Suspects(b.now)) != 1 {
+	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked")
 	}
 	v := b.f.Checked(b.now, Start{ID: id}, Gone)
@@ -125,7 +125,7 @@
 	b.ask(1, streams, ending, 101, 1000)
 	b.now += answerPatience
 	b.f.Tick(b.now)
-	if len(b.f.Suspects(b.now)) != 1 {
+	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked")
 	}
 	if v := b.f.Checked(b.now, Start{ID: ending}, Gone); len(v.Resets) != 0 {
@@ -135,7 +135,7 @@
 	b.now += 200 * time.Millisecond
 	b.live(ending)
 	b.ask(1, streams, ending, 401, 1000)
-	if len(b.f.Suspects(b.now)) != 1 {
+	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked after a repeat")
 	}
 	v := b.f.Checked(b.now, Start{ID: ending}, Gone)
@@ -174,7 +174,7 @@
 		t.Error("new flows still go there")
 	}
 	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
-	if got := b.f.Suspects(b.now); len(got) != 1 {
+	if got := b.f.TargetsToCheck(b.now); len(got) != 1 {
 		t.Fatalf("%d targets to check, want 1", len(got))
 	}
 	b.f.Checked(b.now+time.Millisecond, Start{ID: id}, Alive)
@@ -193,7 +193,7 @@
 	b.now += 400 * time.Millisecond
 	b.ask(1, streams, id, 101, 1000) // the packet was lost
 	for ack := uint32(1000); ack < 1400; ack += 100 {
-		b.f.Suspects(b.now)
+		b.f.TargetsToCheck(b.now)
 		b.now += 30 * time.Millisecond
 		answered := packet(1, streams, ACK, id.Cookie())
 		answered.Seq, answered.Ack = 401, ack+100
@@ -218,7 +218,7 @@
 		b.now += time.Second
 		b.live(id)
 		b.f.PeerSuspects(b.now, id)
-		b.f.Suspects(b.now)
+		b.f.TargetsToCheck(b.now)
 		b.f.Checked(b.now, Start{ID: id}, Silent)
 	}
 	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
@@ -251,7 +251,7 @@
 		b.f.PutTarget(b.now, target1(id, "a"))
 		b.f.RemoveTarget(b.now, id)
 		b.ask(uint16(id), streams, id, 101, 1000) // a flow there is what it is checked for
-		if len(b.f.Suspects(b.now)) != 1 {
+		if len(b.f.TargetsToCheck(b.now)) != 1 {
 			t.Fatalf("target %d is not checked", id)
 		}
 		b.now += 2 * departedMemory
--- a/internal/edge/checks.go
+++ b/internal/edge/checks.go
@@ -19,7 +19,7 @@
 
 func (c *control) checkSuspects(ctx context.Context, now time.Duration) {
 	c.edge.mu.Lock()
-	suspects := c.edge.forward.Suspects(now)
+	suspects := c.edge.forward.TargetsToCheck(now)
 	c.edge.mu.Unlock()
 	for _, t := range suspects {
 		c.check(ctx, t)
