--- a/internal/direct/replayflow_test.go
+++ b/internal/direct/replayflow_test.go
@@ -62,7 +62,7 @@
 
 // deliver takes a decision to its target.
 func (r *replay) deliver(fl *simFlow, d Decision, arrived func(*simTarget)) {
-	if fl.b.f.Due() {
+	if fl.b.f.ChecksDue() {
 		r.check(fl.b)
 	}
 	switch d.Verb {
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -72,7 +72,7 @@
 	}
 	var v CheckResult
 	for range confirmChecks {
-		if !b.f.Due() && len(b.f.TargetsToCheck(b.now)) == 0 {
+		if !b.f.ChecksDue() && len(b.f.TargetsToCheck(b.now)) == 0 {
 			t.Fatal("the silent target is not checked")
 		}
 		b.f.TargetsToCheck(b.now)
--- a/internal/direct/waits.go
+++ b/internal/direct/waits.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// Due reports, once, whether a target has become suspicious since the last
+// ChecksDue reports, once, whether a target has become suspicious since the last
 // call, so that Suspects had better be asked at once.
-func (f *Forwarder) Due() bool {
+func (f *Forwarder) ChecksDue() bool {
 	due := f.due
 	f.due = false
 	return due
--- a/internal/edge/checks.go
+++ b/internal/edge/checks.go
@@ -40,7 +40,7 @@
 	now := c.now()
 	c.edge.mu.Lock()
 	v := c.edge.forward.Checked(now, t.Start(), x)
-	due := c.edge.forward.Due()
+	due := c.edge.forward.ChecksDue()
 	c.edge.mu.Unlock()
 	if due {
 		c.lookSoon()
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -95,7 +95,7 @@
 	}
 	e.mu.Lock()
 	d := e.forward.Handle(now, seg)
-	due := e.forward.Due()
+	due := e.forward.ChecksDue()
 	var to netip.AddrPort
 	var id direct.TargetID
 	if d.Target != nil {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -101,7 +101,7 @@
 				lost = c.edge.forward.PeerFoundDead(now, id)
 			}
 		}
-		due := c.edge.forward.Due()
+		due := c.edge.forward.ChecksDue()
 		c.edge.mu.Unlock()
 		if due {
 			c.lookSoon()
