--- a/internal/direct/modelrestart_test.go
+++ b/internal/direct/modelrestart_test.go
@@ -26,7 +26,7 @@
 	m.revision++
 	x.Revision = m.rev()
 	x.Draining = false
-	x.Born = Born{Told: true, Millis: (m.now + time.Duration(step)*time.Millisecond).Milliseconds()}
+	x.Born = Born{Known: true, Millis: (m.now + time.Duration(step)*time.Millisecond).Milliseconds()}
 }
 
 func (m *model) rev() revision.Revision { return revision.Revision{Era: m.era, Number: m.revision} }
--- a/internal/direct/restart.go
+++ b/internal/direct/restart.go
@@ -29,7 +29,7 @@
 	if f.cookies[x.Cookie()] == old {
 		f.cookies[x.Cookie()] = x
 	}
-	certain := old.Born.Told && t.Born.Told && !f.without.Has(RestartResets)
+	certain := old.Born.Known && t.Born.Known && !f.without.Has(RestartResets)
 	var lost []Segment
 	for _, fl := range f.flowsOf(old) {
 		if !certain || !f.before(fl) {
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -8,7 +8,7 @@
 // started returns a start of a target as registered at a revision.
 func started(id TargetID, millis, number int64) Target {
 	x := target1(id, "a")
-	x.Born = Born{Told: true, Millis: millis}
+	x.Born = Born{Known: true, Millis: millis}
 	x.Revision = rev(number)
 	return x
 }
@@ -158,7 +158,7 @@
 // A target starts again as another service, elsewhere. Callers of the old service
 // must not be sent there, and those of the new one must.
 func TestRestartAsAnotherService(t *testing.T) {
-	for name, born := range map[string]Born{"another start": {Told: true, Millis: 5000}, "the same start": {Told: true, Millis: 1000}} {
+	for name, born := range map[string]Born{"another start": {Known: true, Millis: 5000}, "the same start": {Known: true, Millis: 1000}} {
 		b := newFixture(t, started(1, 1000, 10))
 		c := testCatalogue()
 		c.Services["x"] = Service{Name: "x"}
--- a/internal/direct/target.go
+++ b/internal/direct/target.go
@@ -14,13 +14,13 @@
 // Born tells the starts of a target apart: the time of day at which the target
 // says that it started. It says nothing of their order, as clocks may step.
 type Born struct {
-	Told   bool  // the target tells it
+	Known   bool  // the target tells it
 	Millis int64 // Unix milliseconds
 }
 
 // String returns it for logs.
 func (b Born) String() string {
-	if !b.Told {
+	if !b.Known {
 		return "not told"
 	}
 	return time.UnixMilli(b.Millis).UTC().Format(time.RFC3339Nano)
