--- a/internal/direct/grade.go
+++ b/internal/direct/grade.go
@@ -50,7 +50,7 @@
 // noted takes the end of a request to a target.
 func (f *Forwarder) noted(now time.Duration, t *target, a Answer) {
 	f.ends.counts[a]++
-	if f.without.Has(Grades) {
+	if f.without.Has(OutlierDetection) {
 		return
 	}
 	f.service(t.Service).record.add(now, a)
--- a/internal/direct/mechanism.go
+++ b/internal/direct/mechanism.go
@@ -22,7 +22,7 @@
 	PeerFlows
 	ColdStarts
 	ColdLimits
-	Grades
+	OutlierDetection
 	LapsedTargets
 	OwnLink
 	Alarms
@@ -42,7 +42,7 @@
 	PeerFlows:     {"peer-flows", "count the open flows of peers when placing"},
 	ColdStarts:    {"cold-starts", "count requests more on targets that have just started"},
 	ColdLimits:    {"cold-limits", "open no more flows at targets that have just started than they bear"},
-	Grades:        {"grades", "judge how requests end, and leave targets that fail more than others"},
+	OutlierDetection:        {"grades", "judge how requests end, and leave targets that fail more than others"},
 	LapsedTargets: {"lapsed-targets", "serve at targets that have just lapsed if no other is left"},
 	OwnLink:       {"own-link", "check another target to tell dark targets from a choked link"},
 	Alarms:        {"alarms", "tell peers of suspicions at once rather than with the next heartbeat"},
