--- a/internal/direct/outcome.go
+++ b/internal/direct/outcome.go
@@ -24,8 +24,8 @@
 // Plus returns the sum of two counts.
 func (o Outcome) Plus(x Outcome) Outcome { return Outcome{o.Good + x.Good, o.Bad + x.Bad} }
 
-// Faded returns the counts after a time.
-func (o Outcome) Faded(after time.Duration) Outcome {
+// Decayed returns the counts after a time.
+func (o Outcome) Decayed(after time.Duration) Outcome {
 	w := math.Exp(-float64(after) / float64(outcomeMemory))
 	return Outcome{o.Good * w, o.Bad * w}
 }
@@ -39,7 +39,7 @@
 // fade lets the counts fade until now.
 func (r *record) fade(now time.Duration) {
 	if now > r.at {
-		r.Outcome = r.Faded(now - r.at)
+		r.Outcome = r.Decayed(now - r.at)
 		r.at = now
 	}
 }
--- a/internal/direct/outcome_test.go
+++ b/internal/direct/outcome_test.go
@@ -99,7 +99,7 @@
 
 // Outcomes fade by time alone, whoever keeps them.
 func TestOutcomesFade(t *testing.T) {
-	o := Outcome{Good: 10, Bad: 5}.Faded(outcomeMemory)
+	o := Outcome{Good: 10, Bad: 5}.Decayed(outcomeMemory)
 	if o.Good < 3.6 || o.Good > 3.7 || o.Bad < 1.8 || o.Bad > 1.9 {
 		t.Errorf("%+v after one memory", o)
 	}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -167,7 +167,7 @@
 			if !c.edge.forward.SameStart(id, n.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(o.Outcome().Faded(now - n.heard))
+			out[id] = out[id].Plus(o.Outcome().Decayed(now - n.heard))
 		}
 	}
 	return out
