--- a/internal/direct/cold_test.go
+++ b/internal/direct/coldlimit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// coldFixture has balancer a1 of data centre "a" alone with cold targets that bear ten
-// requests a second for four seconds.
+// coldFixture returns a fixture whose balancer a1 is the only one of data centre "a". Its
+// cold targets can take ten requests a second for four seconds.
 func coldFixture(t *testing.T, targets ...Target) *fixture {
 	b := newFixture(t)
 	c := testCatalogue()
@@ -25,10 +25,9 @@
 	return x
 }
 
-// A target has just started and bears ten requests a second. It is the only one, so that
-// what it does not bear is refused at once: sent there, it would fall over with all that
-// it works on. Once it is warm it takes everything.
-func TestColdTargetIsNotOverrun(t *testing.T) {
+// Openings beyond the limit of the only target, which is cold, are refused: an overloaded
+// target would fail all its requests. Once warm, it takes every opening.
+func TestColdTargetIsNotOverloaded(t *testing.T) {
 	b := coldFixture(t, coldTarget(1, "a"))
 	port, took := uint16(1000), 0
 	for range 200 {
@@ -52,37 +51,38 @@
 	}
 }
 
-// A warm target of another data centre takes what cold ones near by do not bear; cold ones
-// there are left to their own balancers, who cannot know what this one sends.
-func TestColdTargetsOfOthersAreLeftToThem(t *testing.T) {
+// Openings beyond the limit of the cold targets nearby go to a warm target in another data
+// centre. Cold targets there are left to their own balancers, which do not know about the
+// openings of this one.
+func TestColdTargetsElsewhereAreNotUsed(t *testing.T) {
 	b := coldFixture(t, coldTarget(1, "a"), coldTarget(2, "b"), target1(3, "c"))
 	got := map[TargetID]int{}
 	for port := uint16(1000); port < 1050; port++ {
-		got[b.open(port, streams)]++
+		got[b.openFlow(port, streams)]++
 	}
 	if got[2] > 0 || got[1] > 5 || got[3] < 45 {
 		t.Errorf("openings by target: %v", got)
 	}
 }
 
-// A data centre is taken back. Its targets were idle and are cold, which they tell only
-// with their next heartbeat: until then all callers near by would turn to them.
-func TestTakenBackTargetsAreCold(t *testing.T) {
+// The idle targets of an evacuated data centre are cold when the evacuation ends, but report
+// it only with their next heartbeat. Until then all callers nearby would turn to them.
+func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	b := coldFixture(t, target1(1, "a"), target1(2, "b"))
 	b.f.Evacuate(b.now, "a", rev(7))
 	b.now += 8 * time.Second
 	b.f.TakeBack(b.now, "a")
 	got := map[TargetID]int{}
 	for port := uint16(1000); port < 1050; port++ {
-		got[b.open(port, streams)]++
+		got[b.openFlow(port, streams)]++
 	}
 	if got[1] > 3 {
 		t.Errorf("openings by target within a quarter of a second: %v", got)
 	}
 }
 
-// A balancer that has just started does not know the others yet. Taken for alone, it would
-// use the whole rate of every cold target, as would all that start with it.
+// A balancer that has just started does not know the others yet. If it assumed to be alone,
+// it and all others that start with it would each use the whole rate of every cold target.
 func TestUnknownFleetOpensNothingAtColdTargets(t *testing.T) {
 	b := newFixture(t)
 	c := testCatalogue()
@@ -94,7 +94,7 @@
 	b.want(b.handle(packet(1001, streams, SYN, 0)), OpenedNear)
 }
 
-// Without a limit in the catalogue cold targets only count as more loaded.
+// Without a limit in the catalogue, cold targets only count as more loaded.
 func TestColdTargetsWithoutALimit(t *testing.T) {
 	b := newFixture(t, coldTarget(1, "a"))
 	for port := uint16(1000); port < 1050; port++ {
--- a/internal/direct/evacuation_test.go
+++ b/internal/direct/evacuation_test.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// The operator evacuates a data centre. Callers near by would go on being sent there, as
-// its targets are well and idle. No opening may go there from the moment a balancer
-// knows: to the others by their room, and open flows stay.
+// Although the targets of an evacuated data centre are healthy and idle, callers nearby are
+// sent to the other data centres by their free capacity. Open flows stay.
 func TestEvacuatedDataCentreGetsNoOpenings(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"), target1(3, "b"), target1(4, "c"))
-	home := b.open(1000, streams)
+	home := b.openFlow(1000, streams)
 	b.f.Evacuate(b.now, "a", rev(7))
 	got := map[TargetID]int{}
 	for port := uint16(2000); port < 2100; port++ {
-		got[b.open(port, streams)]++
+		got[b.openFlow(port, streams)]++
 	}
 	if got[1]+got[2] > 0 {
 		t.Errorf("openings by target: %v, want none at 1 and 2", got)
@@ -23,13 +22,13 @@
 		t.Errorf("openings by target: %v, want them spread over 3 and 4", got)
 	}
 	if n := b.f.Count(OpenedAway); n != 100 {
-		t.Errorf("%d openings counted as kept away, want 100", n)
+		t.Errorf("%d openings counted as evacuated, want 100", n)
 	}
-	b.want(b.ask(1000, streams, home, 101, 1000), Forwarded)
+	b.want(b.sendRequest(1000, streams, home, 101, 1000), Forwarded)
 }
 
-// Another data centre than the balancer's own is evacuated while this one is full: the
-// evacuated one looks idle, but gets none of its flows.
+// The balancer's own data centre is full, and another one is evacuated and idle. No flows
+// spill to it.
 func TestFlowsDoNotSpillToAnEvacuatedDataCentre(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(3, "b"))
 	b.f.Evacuate(b.now, "b", rev(7))
@@ -40,10 +39,9 @@
 	}
 }
 
-// A caller repeats its opening. Its first copy had gone to a target of a data centre that
-// has been evacuated since, and no other target has room: the repeat is refused at once
-// rather than sent there.
-func TestRepeatedOpeningLeavesAnEvacuatedDataCentre(t *testing.T) {
+// A caller retransmits an opening whose first copy went to a data centre that has been
+// evacuated since. With no other target available, the retransmission is refused.
+func TestRetransmittedOpeningLeavesEvacuatedDataCentre(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	b.want(b.handle(packet(2000, streams, SYN, 0)), OpenedNear)
 	b.f.Evacuate(b.now, "a", rev(7))
@@ -51,10 +49,9 @@
 	b.want(b.handle(packet(2000, streams, SYN, 0)), ResetEvacuated)
 }
 
-// All that is left are targets of an evacuated data centre, or those that no flow may
-// go to anyway. What the operator asked for is kept: the caller is refused at once and
-// truly, as nothing has run, and may come back.
-func TestNothingButAnEvacuatedDataCentreIsLeft(t *testing.T) {
+// If the only targets left are in an evacuated data centre or not usable for other reasons,
+// callers are refused at once. As nothing ran, they may retry.
+func TestOnlyEvacuatedTargetsAreLeft(t *testing.T) {
 	leaves := target1(2, "b")
 	leaves.Draining = true
 	b := newFixture(t, target1(1, "a"), leaves)
@@ -62,13 +59,13 @@
 	b.now += lateOpeningWindow
 	b.want(b.handle(packet(2000, streams, SYN, 0)), ResetEvacuated)
 	b.f.RemoveTarget(b.now, 1)
-	b.want(b.handle(packet(2001, streams, SYN, 0)), ResetEvacuated) // it has just lapsed, and would serve
+	b.want(b.handle(packet(2001, streams, SYN, 0)), ResetEvacuated) // it has just expired and would be a fallback
 	b.now += lateOpeningWindow
 	b.want(b.handle(packet(2002, streams, SYN, 0)), ResetNoTarget)
 }
 
-// Several data centres are evacuated and taken back one by one; one of them is unknown
-// until its first target registers itself. Each counts by itself.
+// Data centres are evacuated and taken back independently of one another, also one that is
+// unknown until its first target registers.
 func TestEvacuationsOverlap(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "b"))
 	b.f.Evacuate(b.now, "a", rev(7))
@@ -86,11 +83,11 @@
 	}
 }
 
-// An operator asks what still goes to an evacuated data centre.
-func TestEvacuationsTellWhatIsLeft(t *testing.T) {
+// Evacuations reports the flows and requests that remain in an evacuated data centre.
+func TestEvacuationsCountFlows(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "b"))
-	id := b.open(1000, streams)
-	b.ask(1000, streams, id, 101, 1000)
+	id := b.openFlow(1000, streams)
+	b.sendRequest(1000, streams, id, 101, 1000)
 	b.f.Evacuate(b.now, "a", rev(7))
 	b.f.Evacuate(b.now, "b", rev(8))
 	b.now += 3 * time.Second
--- a/internal/direct/burial_bench_test.go
+++ b/internal/direct/flowsof_bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkBurial is what it takes to find a target's flows among 35,000, as when it is
-// found dead or starts again; packets wait meanwhile.
-func BenchmarkBurial(b *testing.B) {
+// BenchmarkFlowsOf measures finding a target's flows among 35,000, which delays packets
+// whenever a target is found dead or restarts.
+func BenchmarkFlowsOf(b *testing.B) {
 	f := New(Config{DataCenter: "a", FlowMaxAge: time.Minute, MaxFlows: 40_000})
 	f.SetCatalogue(testCatalogue())
 	for id := range TargetID(100) {
--- a/internal/direct/forwarder_test.go
+++ b/internal/direct/forwarder_test.go
@@ -32,9 +32,8 @@
 	}
 }
 
-// A caller repeats its opening, two targets answer, and the caller returns the
-// cookie of the later answer. Its packets must keep going to the target whose
-// answer it took first.
+// A caller retransmits its opening, two targets answer, and the caller returns the cookie of
+// the later answer. Its packets must keep going to the target whose answer it accepted first.
 func TestSecondAnswerDoesNotMoveAFlow(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
 	first := b.handle(packet(1, streams, SYN, 0)).Target.ID
@@ -44,7 +43,7 @@
 	second := b.handle(copied)
 	b.want(second, OpenedElse)
 	if second.Target.ID == first {
-		t.Error("the repeated opening went to the same target")
+		t.Error("the retransmitted opening went to the same target")
 	}
 	b.handle(packet(1, streams, ACK, first.Cookie()))
 	d := b.handle(packet(1, streams, ACK, second.Target.ID.Cookie()))
@@ -54,11 +53,11 @@
 	}
 }
 
-// A copy of an opening is late and comes after the flow has opened. Its answer
-// must carry the cookie, or the caller would lose it.
+// The answer to a copy of an opening that arrives after the flow has opened must carry the
+// cookie, or the caller would lose it.
 func TestLateCopyCarriesTheCookie(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
-	id := b.open(1, streams)
+	id := b.openFlow(1, streams)
 	d := b.handle(packet(1, streams, SYN, 0))
 	if d.Target.ID != id || !d.SetCookie {
 		t.Errorf("late copy went to %d, cookie set: %v", d.Target.ID, d.SetCookie)
@@ -83,13 +82,13 @@
 	}
 }
 
-// Whatever happens to flows, the counts at the targets end at zero: a count that
-// stays would keep new flows away for ever.
+// However flows end, the counts at the targets must return to zero. A leaked count would keep
+// new flows away for ever.
 func TestCountsReturnToZero(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"), target1(3, "b"))
 	for i := range uint16(200) {
-		id := b.open(i, streams)
-		b.ask(i, streams, id, 101, 1000)
+		id := b.openFlow(i, streams)
+		b.sendRequest(i, streams, id, 101, 1000)
 		switch i % 4 {
 		case 0: // answered and closed
 			s := packet(i, streams, ACK|FIN, id.Cookie())
@@ -114,7 +113,7 @@
 
 func BenchmarkForward(b *testing.B) {
 	x := newFixture(&testing.T{}, target1(1, "a"), target1(2, "a"))
-	id := x.open(1, streams)
+	id := x.openFlow(1, streams)
 	s := packet(1, streams, ACK, id.Cookie())
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/direct/harness_test.go
+++ b/internal/direct/harness_test.go
@@ -16,8 +16,8 @@
 }
 
 var (
-	streams = netip.MustParseAddrPort("198.18.0.1:443")  // idempotent requests of service s
-	notes   = netip.MustParseAddrPort("198.18.0.1:8080") // requests that must not run twice
+	streams = netip.MustParseAddrPort("198.18.0.1:443")  // idempotent requests to service s
+	notes   = netip.MustParseAddrPort("198.18.0.1:8080") // non-idempotent requests to service s
 )
 
 func testCatalogue() *Catalogue {
@@ -33,7 +33,7 @@
 	}
 }
 
-// newFixture returns a forwarder of data centre "a" that knows some targets.
+// newFixture returns a forwarder of data centre "a" that knows the targets.
 func newFixture(t *testing.T, targets ...Target) *fixture {
 	b := &fixture{t: t, f: New(Config{DataCenter: "a", FlowMaxAge: time.Minute, MaxFlows: 1000, Seed: 1}), now: time.Second}
 	b.f.SetCatalogue(testCatalogue())
@@ -47,15 +47,15 @@
 	return Target{ID: id, Service: "s", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80), DataCenter: centre, Slots: 2}
 }
 
-// packets of one caller's flow, told apart by its port.
+// packet returns a packet of a caller's flow, which is identified by its port.
 func packet(port uint16, to netip.AddrPort, flags Flags, cookie Cookie) *Segment {
 	return &Segment{Caller: netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port), Address: to, Flags: flags, Cookie: cookie}
 }
 
 func (b *fixture) handle(s *Segment) Decision { return b.f.Handle(b.now, s) }
 
-// open opens a flow and sends its first packet, and returns its target.
-func (b *fixture) open(port uint16, to netip.AddrPort) TargetID {
+// openFlow opens a flow, sends its first packet and returns its target.
+func (b *fixture) openFlow(port uint16, to netip.AddrPort) TargetID {
 	b.t.Helper()
 	d := b.handle(packet(port, to, SYN, 0))
 	if d.Verb != Forward {
@@ -69,8 +69,8 @@
 	return id
 }
 
-// ask sends a request of 300 bytes on an open flow; ends is where its data ends.
-func (b *fixture) ask(port uint16, to netip.AddrPort, id TargetID, seq, ack uint32) Decision {
+// sendRequest sends a request of 300 bytes on an open flow.
+func (b *fixture) sendRequest(port uint16, to netip.AddrPort, id TargetID, seq, ack uint32) Decision {
 	s := packet(port, to, ACK, id.Cookie())
 	s.Seq, s.Ack, s.Len = seq, ack, 300
 	return b.handle(s)
@@ -83,8 +83,8 @@
 	}
 }
 
-// state returns what the forwarder knows of a target.
+// state returns the forwarder's state of a target.
 func (b *fixture) state(id TargetID) *target { return b.f.targets[id] }
 
-// rev is a revision of a store that tells no era.
+// rev returns a revision of a store that does not report an era.
 func rev(number int64) revision.Revision { return revision.Revision{Number: number} }
--- a/internal/direct/load_test.go
+++ b/internal/direct/load_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// capacity is the requests a second that the slots of n targets can do: the mix
-// takes 32 ms on average.
+// capacity returns the requests a second that the slots of n targets can serve. The mix takes
+// 32 ms on average.
 func capacity(n int) float64 { return float64(n*simSlots) / 0.032 }
 
-// Callers of three data centres load 14 targets evenly, from half of what the
-// slots do to nine tenths. Placing has to keep requests within their goal as long
-// as the slots suffice, and to spread the work.
+// Callers of three data centres load 14 targets evenly, with 0.5 to 0.9 of the slots'
+// capacity. Placement has to keep requests within their goal and most flows in their data
+// centre.
 func TestEvenLoad(t *testing.T) {
 	for _, c := range []struct{ share, inGoal, far float64 }{{0.5, 0.995, 0.02}, {0.7, 0.99, 0.05}, {0.9, 0.96, 0.10}} {
 		r := evenLoad(c.share)
@@ -25,9 +25,9 @@
 	}
 }
 
-// Callers ask for more than the slots do, for ten seconds. Targets turn away what
-// does not fit their queues; as many as the slots can serve have to be served,
-// and no target may idle.
+// Callers exceed the slots' capacity for ten seconds, and targets refuse what does not fit
+// into their queues. As many requests as the slots can serve have to be served, which leaves
+// no target idle.
 func TestOverload(t *testing.T) {
 	const load, possible = 1.2, 1 / 1.2
 	r := evenLoad(load)
@@ -37,9 +37,8 @@
 	}
 }
 
-// One of 14 targets becomes ten times slower for good while its health check
-// answers as before. Requests on flows that are open there are lost to it; new
-// ones have to go elsewhere.
+// One of 14 targets becomes ten times slower while its health check stays good. Requests on
+// flows already open there are lost to it, but new flows have to go elsewhere.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	r := newReplay(5, []int{3, 2, 2}, []int{5, 5, 4})
 	for i, n := range []float64{5, 5, 4} {
@@ -66,8 +65,8 @@
 	return r
 }
 
-// One data centre's callers send a burst of 1.8 or 2.2 times the usual while the
-// others have room. Its flows have to spill over before its targets drown.
+// Callers of one data centre send 1.8 or 2.2 times the normal load while the others have
+// room. Flows have to spill over before its targets are overloaded.
 func TestBurstOfOneDataCentre(t *testing.T) {
 	for _, c := range []struct{ factor, inGoal float64 }{{1.8, 0.99}, {2.2, 0.99}} {
 		r := newReplay(2, []int{3, 2, 2}, []int{5, 5, 4})
--- a/internal/direct/mechanism_test.go
+++ b/internal/direct/mechanism_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// An operator switches mechanisms off by name. A name that is misspelt must not pass
-// for one that was switched off.
+// Feature switches are parsed by name, and a misspelt name is an error.
 func TestParseMechanisms(t *testing.T) {
 	s, err := ParseMechanisms("spill,idle-resets")
 	if err != nil || !s.Has(Spill) || !s.Has(IdleResets) || s.Has(Alarms) || s.String() != "idle-resets,spill" {
@@ -16,7 +15,7 @@
 		t.Errorf("nothing: %v, %v", s, err)
 	}
 	if _, err := ParseMechanisms("spil"); err == nil || !strings.Contains(err.Error(), `"spil"`) {
-		t.Errorf("error %v, want one that names the word", err)
+		t.Errorf("error %v, want one that contains the name", err)
 	}
 	for _, m := range Mechanisms() {
 		if m.String() == "" || m.Describe() == "" {
--- a/internal/direct/model_test.go
+++ b/internal/direct/model_test.go
@@ -7,57 +7,57 @@
 	"pgregory.net/rapid"
 )
 
-// model is a random run of several balancers whose views of targets and routes
-// differ, with the flows as callers and targets see them. It checks what must
-// hold whatever the order of events:
+// model is a random run of several balancers whose views of targets and routes differ, with
+// the flows as callers and targets see them. It checks these invariants for any order of
+// events:
 //
-//   - a packet goes to no target but the flow's own, and an opening only to a
-//     target of the route's service;
-//   - a balancer resets a flow only if its target has ended, or its route is gone;
-//   - a flow of a target's present start is kept when the target starts again, and when
-//     the store says what it said earlier;
-//   - counts at targets never get negative.
+//   - a packet goes only to its flow's target, and an opening only to a target of the
+//     route's service;
+//   - a balancer resets a flow only if its target has ended or its route is gone;
+//   - a flow of the current start of a target survives later updates about the target,
+//     including outdated ones from a restored store;
+//   - counts at targets never become negative.
 type model struct {
 	now       time.Duration
 	balancers []*Forwarder
-	extra     bool // the newest catalogue has the extra route
+	extra     bool // the latest catalogue has the extra route
 	targets   []*modelTarget
 	flows     []*modelFlow
 	nextPort  uint16
 	era       int64 // of the store
 	revision  int64 // of the store
 	saved     modelBackup
-	restored  modelBackup // what the store said when it came back
-	// careless makes balancers take any finding of a peer for their own, as a
-	// broken variant that the model has to catch.
-	careless bool
-	// hasty makes balancers take all flows of a target that has started again for
-	// lost, as another broken variant.
-	hasty bool
-	// gullible makes balancers take all that a store says which has come back from an
-	// older copy, as another one.
-	gullible bool
-	fail     func(format string, args ...any)
+	restored  modelBackup // content of the store when it came back
+	// trustsPeerFindings is a defect for the model to detect: balancers treat any finding of
+	// a peer as their own.
+	trustsPeerFindings bool
+	// resetsAllOnRestart is another defect: balancers treat all flows of a restarted target
+	// as lost.
+	resetsAllOnRestart bool
+	// trustsOldCopy is another defect: balancers accept all registrations from a store that
+	// was restored from an older copy.
+	trustsOldCopy bool
+	fail          func(format string, args ...any)
 }
 
 type modelTarget struct {
 	Target
 	ended bool
-	down  bool // crashed, and not started again yet
-	start int  // counts its starts; flows belong to one
-	// closed tells that it takes no more connections, as it is about to end, and
-	// still answers its flows. waits tells that a caller has repeated since.
-	closed, waits bool
+	down  bool // crashed and not restarted yet
+	start int  // number of the current start; each flow belongs to one
+	// closed means that it accepts no more connections, as it is about to end, and still
+	// answers its flows. callerWaits means that a caller has retransmitted since.
+	closed, callerWaits bool
 }
 
 type modelFlow struct {
 	key    FlowKey
 	target *modelTarget // where the caller's first packet was accepted
-	start  int          // of the target that accepted it
+	start  int          // start of the target that accepted it
 	seq    uint32
 	ack    uint32
 	over   bool
-	// dropped tells that its route was dropped at some time since it opened.
+	// dropped means that its route was removed at some time since it opened.
 	dropped bool
 }
 
@@ -74,7 +74,7 @@
 	}
 	m.addTarget("x")
 	for i := range m.balancers {
-		m.learn(i)
+		m.update(i)
 	}
 	return m
 }
@@ -87,7 +87,7 @@
 	m.balancers[i].SetCatalogue(c)
 }
 
-// addTarget starts a target; its address is one that another may have had.
+// addTarget starts a target. Another target may have had its address before.
 func (m *model) addTarget(service string) {
 	t := &modelTarget{Target: target1(TargetID(0xc000000001+len(m.targets)), "a")}
 	t.Service = service
@@ -95,8 +95,8 @@
 	m.targets = append(m.targets, t)
 }
 
-// learn brings a balancer up to date, as a listing does.
-func (m *model) learn(i int) {
+// update brings a balancer up to date, as a full listing of the store does.
+func (m *model) update(i int) {
 	m.setCatalogue(i)
 	f := m.balancers[i]
 	for _, t := range m.targets {
@@ -104,15 +104,15 @@
 			f.RemoveTarget(m.now, t.ID)
 			continue
 		}
-		if m.hasty {
+		if m.resetsAllOnRestart {
 			f.SetListCompleteAt(m.now + time.Hour)
 		}
-		m.reset(f.PutTarget(m.now, t.Target), ResetRestarted)
+		m.applyResets(f.PutTarget(m.now, t.Target), ResetRestarted)
 	}
 	f.SetListCompleteAt(m.now)
 }
 
-func (m *model) byID(id TargetID) *modelTarget {
+func (m *model) target(id TargetID) *modelTarget {
 	for _, t := range m.targets {
 		if t.ID == id {
 			return t
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// open is a caller's opening through a balancer, and its first packet through
-// another one. A copy of the opening may have come to that one first, and to another
-// target, whose answer the caller does not take.
+// open sends a caller's opening through one balancer and its first packet through another. If
+// copied is set, the second balancer also gets a copy of the opening, possibly for another
+// target, whose answer the caller ignores.
 func (m *model) open(to netip.AddrPort, first, second int, copied bool) {
 	m.nextPort++
 	fl := &modelFlow{key: FlowKey{netip.AddrPortFrom(netip.MustParseAddr("100.64.0.1"), m.nextPort), to}, seq: 101, ack: 1000}
@@ -139,7 +139,7 @@
 		m.fail("opening of %v went to service %s", to, d.Target.Service)
 	}
 	fl.dropped = to == extraRoute && !m.extra
-	fl.target = m.byID(d.Target.ID)
+	fl.target = m.target(d.Target.ID)
 	fl.start = fl.target.start
 	if fl.target.ended || fl.target.down {
 		return
@@ -152,13 +152,13 @@
 	m.send(fl, second, 0, true)
 }
 
-// send is a packet of an open flow through a balancer.
+// send sends a packet of an open flow through a balancer.
 func (m *model) send(fl *modelFlow, i, length int, progress bool) {
 	s := &Segment{Caller: fl.key.Caller, Address: fl.key.Address, Seq: fl.seq, Len: length, Cookie: fl.target.ID.Cookie(), Flags: ACK}
 	if progress && !fl.lost() {
 		fl.ack += 500
 	}
-	fl.target.waits = fl.target.waits || fl.target.closed && !progress && length > 0
+	fl.target.callerWaits = fl.target.callerWaits || fl.target.closed && !progress && length > 0
 	s.Ack = fl.ack
 	d := m.balancers[i].Handle(m.now, s)
 	switch d.Verb {
@@ -168,28 +168,28 @@
 		}
 	case Reset:
 		fl.over = true
-		m.mayReset(fl, d.Reason)
+		m.checkReset(fl, d.Reason)
 	}
 }
 
-func (m *model) checked(i int, x *modelTarget, reachable bool) {
+func (m *model) finishCheck(i int, x *modelTarget, reachable bool) {
 	finding := Alive
 	switch {
 	case x.ended, x.closed, x.down:
 		finding = Gone
 	case !reachable:
-		return // a cut: judged only while other targets show life, see suspect_test.go
+		return // a network cut; covered by suspect_test.go
 	}
-	m.reset(m.balancers[i].Checked(m.now, x.Start(), finding).Resets, ResetSilent)
+	m.applyResets(m.balancers[i].Checked(m.now, x.Start(), finding).Resets, ResetSilent)
 }
 
-// reset notes resets that a balancer sends on its own.
-func (m *model) reset(segments []Segment, why Reason) {
+// applyResets applies the resets that a balancer sends on its own.
+func (m *model) applyResets(segments []Segment, why Reason) {
 	for _, seg := range segments {
 		for _, fl := range m.flows {
 			if fl.key == seg.Flow() {
 				fl.over = true
-				m.mayReset(fl, why)
+				m.checkReset(fl, why)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 		m.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 		m.balancers[i].Tick(m.now)
 	case 6:
-		m.learn(i)
+		m.update(i)
 	case 7:
 		if len(m.targets) < 12 {
 			m.addTarget(rapid.SampledFrom([]string{"s", "x"}).Draw(t, "service"))
@@ -222,13 +222,13 @@
 		x.closed = rapid.Bool().Draw(t, "closed") && m.announced(x) || x.closed
 	case 9:
 		for _, want := range m.balancers[i].TargetsToCheck(m.now) {
-			m.checked(i, m.byID(want.ID), true)
+			m.finishCheck(i, m.target(want.ID), true)
 		}
-		if m.careless {
+		if m.trustsPeerFindings {
 			if known := m.balancers[j].targets[x.ID]; known != nil {
-				known.checkedAt = m.now // as if it had asked itself
+				known.checkedAt = m.now // as if it had checked the target itself
 			}
-			m.reset(m.balancers[j].Checked(m.now, x.Start(), Gone).Resets, ResetSilent)
+			m.applyResets(m.balancers[j].Checked(m.now, x.Start(), Gone).Resets, ResetSilent)
 			return
 		}
 		m.balancers[j].PeerSuspects(m.now, x.ID)
@@ -241,13 +241,13 @@
 	case 13:
 		m.saved = m.backup()
 	case 14:
-		m.comeBack(m.saved)
+		m.restoreStore(m.saved)
 	case 15:
-		m.learnRestored(i)
+		m.updateRestored(i)
 	}
 }
 
-// setExtra is an operator's change of the catalogue.
+// setExtra adds or removes the extra route of the catalogue.
 func (m *model) setExtra(on bool) {
 	m.extra = on
 	for _, fl := range m.flows {
@@ -255,8 +255,8 @@
 	}
 }
 
-// announced reports whether all balancers know that a target leaves: it ends no
-// sooner, seconds after its announcement.
+// announced reports whether all balancers know that a target leaves. A target ends only after
+// that, seconds after its announcement.
 func (m *model) announced(x *modelTarget) bool {
 	for _, f := range m.balancers {
 		if known := f.targets[x.ID]; known != nil && !known.Draining {
--- a/internal/direct/modelchecks_test.go
+++ b/internal/direct/modelchecks_test.go
@@ -1,7 +1,7 @@
 package direct
 
-func (m *model) mayReset(fl *modelFlow, why Reason) {
-	if !fl.lost() && !fl.target.waits && !fl.dropped {
+func (m *model) checkReset(fl *modelFlow, why Reason) {
+	if !fl.lost() && !fl.target.callerWaits && !fl.dropped {
 		m.fail("%v: a flow of a living target was reset", why)
 	}
 }
--- a/internal/direct/modelrestart_test.go
+++ b/internal/direct/modelrestart_test.go
@@ -6,7 +6,7 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// crash ends a target's start with its flows. Its registration stays.
+// crash ends the current start of a target with its flows. Its registration stays.
 func (m *model) crash(x *modelTarget) {
 	if x.ended || x.closed || x.down {
 		return
@@ -15,8 +15,8 @@
 	x.start++
 }
 
-// restart has a target start again under its identifier, ready, with its clock
-// stepped by so many milliseconds. Balancers hear of it when they next learn.
+// restart starts a target again under its identifier, ready, with its clock stepped by a
+// number of milliseconds. Balancers learn of it with their next update.
 func (m *model) restart(x *modelTarget, step int) {
 	if x.ended || x.closed {
 		return
@@ -31,7 +31,7 @@
 
 func (m *model) rev() revision.Revision { return revision.Revision{Era: m.era, Number: m.revision} }
 
-// modelBackup is a copy of what the targets had written into the store.
+// modelBackup is a copy of the registrations in the store.
 type modelBackup []Target
 
 func (m *model) backup() modelBackup {
@@ -44,9 +44,9 @@
 	return b
 }
 
-// comeBack has the store come back from a copy. Its revisions go back; the targets write
-// again later, as new ones.
-func (m *model) comeBack(b modelBackup) {
+// restoreStore replaces the store by one restored from a backup, with a new era and lower
+// revisions. The targets write their registrations again later.
+func (m *model) restoreStore(b modelBackup) {
 	m.era++
 	m.revision = 0
 	for _, x := range m.targets {
@@ -60,16 +60,17 @@
 	}
 }
 
-// learnRestored brings a balancer up to what the store says before anybody has written
-// again. Entries that say less than is known are put off; see replica.Settling.
-func (m *model) learnRestored(i int) {
+// updateRestored brings a balancer up to the content of the restored store before any target
+// has written again. Entries less recent than what the balancer knows are held back; see
+// replica.Settling.
+func (m *model) updateRestored(i int) {
 	f := m.balancers[i]
 	for _, t := range m.restored {
-		if m.gullible || !f.KnowsNewer(t) {
-			m.reset(f.PutTarget(m.now, t), ResetRestarted)
+		if m.trustsOldCopy || !f.KnowsNewer(t) {
+			m.applyResets(f.PutTarget(m.now, t), ResetRestarted)
 		}
 	}
-	if m.gullible {
+	if m.trustsOldCopy {
 		f.SetListCompleteAt(m.now)
 	}
 }
--- a/internal/direct/modelruns_test.go
+++ b/internal/direct/modelruns_test.go
@@ -13,9 +13,8 @@
 	}
 }
 
-// Views of targets and routes differ, flows move between balancers, targets come,
-// leave, and their addresses are used again. No caller may notice but those whose
-// target or route is gone.
+// With differing views of targets and routes, flows that move between balancers, and targets
+// that come, leave and reuse addresses, only flows whose target or route is gone may break.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(3)
@@ -24,35 +23,35 @@
 	})
 }
 
-// mostRuns bounds the search for a run that shows a broken variant.
-const mostRuns = 30000
+// maxRuns limits the search for a run that exposes a defect.
+const maxRuns = 30000
 
-// Broken variants of a balancer: the model has to see what they do to callers.
+// The model has to detect the effects of known defects on callers.
 func TestModelCatchesBrokenVariants(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		harm func(*model)
+		name  string
+		apply func(*model)
 	}{
-		{"takes its peers' findings for its own", func(m *model) { m.careless = true }},
-		{"takes all flows of a restarted target for lost", func(m *model) { m.hasty = true }},
-		{"takes all that an older copy of the store says", func(m *model) { m.gullible = true }},
+		{"treats its peers' findings as its own", func(m *model) { m.trustsPeerFindings = true }},
+		{"treats all flows of a restarted target as lost", func(m *model) { m.resetsAllOnRestart = true }},
+		{"accepts all registrations of an older copy of the store", func(m *model) { m.trustsOldCopy = true }},
 	} {
 		broken := 0
 		random := rapid.Custom(func(t *rapid.T) int {
 			m := newModel(3)
-			c.harm(m)
+			c.apply(m)
 			m.fail = func(string, ...any) { broken++ }
 			run(m, t)
 			return 0
 		})
 		runs := 0
-		for broken == 0 && runs < mostRuns {
+		for broken == 0 && runs < maxRuns {
 			random.Example(runs)
 			runs++
 		}
 		if broken == 0 {
-			t.Errorf("%d random runs of a balancer that %s kept every promise", runs, c.name)
+			t.Errorf("%d random runs of a balancer that %s violated no invariant", runs, c.name)
 		}
-		t.Logf("run %d of a balancer that %s broke a promise", runs, c.name)
+		t.Logf("run %d of a balancer that %s violated an invariant", runs, c.name)
 	}
 }
--- a/internal/direct/outcome_test.go
+++ b/internal/direct/outcome_test.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// note has a target end some requests alike.
-func (b *fixture) note(id TargetID, a Answer, n int) {
+// recordAnswers records n equal request outcomes at a target.
+func (b *fixture) recordAnswers(id TargetID, a Answer, n int) {
 	for range n {
 		b.f.recordAnswer(b.now, b.state(id), a)
 	}
 }
 
-// One target fails four of ten requests, another none. New flows go to the other
-// until it is loaded, the belief is told once, and fades after the failures end.
+// One target fails four of ten requests, another none. New flows go to the other one until it
+// is loaded. The change is reported once, and ends after the failures have ended.
 func TestFailingTargetLooksLoaded(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
-	b.note(1, AnswerGood, 12)
-	b.note(1, AnswerNone, 8)
-	b.note(2, AnswerGood, 20)
+	b.recordAnswers(1, AnswerGood, 12)
+	b.recordAnswers(1, AnswerNone, 8)
+	b.recordAnswers(2, AnswerGood, 20)
 	b.f.Tick(b.now)
 	for port := range uint16(5) {
-		if id := b.open(100+port, streams); id != 2 {
-			t.Errorf("flow %d went to the target that fails", port)
+		if id := b.openFlow(100+port, streams); id != 2 {
+			t.Errorf("flow %d went to the failing target", port)
 		}
 	}
-	news := b.f.OutlierChanges()
-	if len(news) != 1 || news[0].Target != 1 || !news[0].Failing {
-		t.Fatalf("news is %+v, want that target 1 fails", news)
+	changes := b.f.OutlierChanges()
+	if len(changes) != 1 || changes[0].Target != 1 || !changes[0].Failing {
+		t.Fatalf("changes are %+v, want that target 1 fails", changes)
 	}
 	b.now += 6 * outcomeTimeConstant
 	b.f.Tick(b.now)
-	if news = b.f.OutlierChanges(); len(news) != 1 || news[0].Failing {
-		t.Errorf("news is %+v, want that target 1 answers well again", news)
+	if changes = b.f.OutlierChanges(); len(changes) != 1 || changes[0].Failing {
+		t.Errorf("changes are %+v, want that target 1 answers well again", changes)
 	}
 	if x := b.state(1); x.extraLoad > 0.1 {
 		t.Errorf("the target still looks loaded by %.2f", x.extraLoad)
 	}
 }
 
-// This balancer sees most requests fail everywhere, as its own path is broken. It
-// must not tell others that targets fail, nor prefer one to another.
-func TestOwnFaultStaysHere(t *testing.T) {
+// Most requests through this balancer fail at all targets, as its own path is broken. It must
+// not report failing targets to peers, nor prefer one target to another.
+func TestOwnFaultIsNotReported(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
-	b.note(1, AnswerNone, 20)
-	b.note(2, AnswerNone, 20)
+	b.recordAnswers(1, AnswerNone, 20)
+	b.recordAnswers(2, AnswerNone, 20)
 	b.f.Tick(b.now)
 	if out := b.f.Outcomes(b.now); len(out) != 0 {
-		t.Errorf("tells %v", out)
+		t.Errorf("reports %v", out)
 	}
 	if x, y := b.state(1).extraLoad, b.state(2).extraLoad; x > 0.5 || y > 0.5 {
 		t.Errorf("targets look loaded by %.2f and %.2f", x, y)
 	}
 }
 
-// In a large fleet a balancer has few requests to each target. What others tell
-// of failures decides, measured by the requests that all of them must have had.
-func TestPeersOutcomesDecide(t *testing.T) {
+// In a large fleet a balancer has few requests to each target. Failures reported by peers
+// count relative to the requests that all balancers are assumed to have had.
+func TestPeerOutcomesCount(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		bad    float64 // requests that failed at target 1, told by peers
+		bad    float64 // failed requests at target 1, as reported by peers
 		spread int     // balancers
 		loaded bool
 	}{
@@ -68,8 +68,8 @@
 		{"ten of about 400", 10, 200, false},
 	} {
 		b := newFixture(t, target1(1, "a"), target1(2, "a"))
-		b.note(1, AnswerGood, 2)
-		b.note(2, AnswerGood, 2)
+		b.recordAnswers(1, AnswerGood, 2)
+		b.recordAnswers(2, AnswerGood, 2)
 		b.f.SetPeerOutcomes(map[TargetID]Outcome{1: {Bad: c.bad}}, c.spread)
 		b.f.Tick(b.now)
 		if got := b.state(1).extraLoad > failingLoad; got != c.loaded {
@@ -83,22 +83,22 @@
 	}
 }
 
-// A target that failed is forgotten with all that was known of it.
-func TestForgottenTargetIsNotDoubtful(t *testing.T) {
+// A failing target that is forgotten leaves no state behind.
+func TestForgottenTargetIsNotTracked(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
-	b.note(1, AnswerNone, 5)
+	b.recordAnswers(1, AnswerNone, 5)
 	b.f.RemoveTarget(b.now, 1)
 	for range 3 {
 		b.now += departedRetention
 		b.f.Tick(b.now)
 	}
 	if len(b.f.outcomes.recentlyFailed) != 0 {
-		t.Errorf("%d targets are doubtful", len(b.f.outcomes.recentlyFailed))
+		t.Errorf("%d targets are tracked", len(b.f.outcomes.recentlyFailed))
 	}
 }
 
-// Outcomes fade by time alone, whoever keeps them.
-func TestOutcomesFade(t *testing.T) {
+// Outcomes decay with time, whether held as Outcome or record.
+func TestOutcomesDecay(t *testing.T) {
 	o := Outcome{Good: 10, Bad: 5}.Decayed(outcomeTimeConstant)
 	if o.Good < 3.6 || o.Good > 3.7 || o.Bad < 1.8 || o.Bad > 1.9 {
 		t.Errorf("%+v after one memory", o)
--- a/internal/direct/place_test.go
+++ b/internal/direct/place_test.go
@@ -14,18 +14,18 @@
 	}
 }
 
-// The last target of a service gets its openings again: there is no other.
-func TestRepeatedOpeningOfTheOnlyTarget(t *testing.T) {
+// If a service has only one target, a retransmitted opening goes to it again.
+func TestRetransmittedOpeningToTheOnlyTarget(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	b.handle(packet(1, streams, SYN, 0))
 	b.now += 200 * time.Millisecond
 	if d := b.handle(packet(1, streams, SYN, 0)); d.Verb != Forward || d.Target.ID != 1 {
-		t.Errorf("repeated opening: %v", d.Reason)
+		t.Errorf("retransmitted opening: %v", d.Reason)
 	}
 }
 
-// All targets of a service leave. For a moment openings may still go to them,
-// then callers are told at once that nothing ran.
+// All targets of a service leave. They may get openings for a moment; then callers are
+// refused at once.
 func TestAllTargetsLeave(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	leaving := target1(1, "a")
@@ -37,7 +37,7 @@
 	b.want(b.handle(packet(2, streams, SYN, 0)), ResetNoTarget)
 }
 
-// A suspected target is better than one that leaves.
+// A suspected target is preferred to one that leaves.
 func TestSuspectedBeforeLeaving(t *testing.T) {
 	leaving := target1(1, "a")
 	leaving.Draining = true
@@ -68,7 +68,7 @@
 		}
 		s.Ack = 1
 		if again := b.handle(s); again.Target.Service != d.Target.Service {
-			t.Fatal("a repeated opening changed the service")
+			t.Fatal("a retransmitted opening changed the service")
 		}
 	}
 	if got < openings*8/100 || got > openings*12/100 {
@@ -76,9 +76,8 @@
 	}
 }
 
-// A target takes so many flows and leaves further openings unanswered. They go
-// elsewhere, also those that peers hold count, and with no room left callers are
-// told at once.
+// A target at its maximum number of flows leaves openings unanswered. They go elsewhere.
+// Flows reported by peers count too, and if no target has room callers are refused at once.
 func TestFullTargets(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "b"))
 	c := testCatalogue()
@@ -86,16 +85,16 @@
 	b.f.SetCatalogue(c)
 	b.f.SetPeerLoads(map[TargetID]Load{1: {Flows: 1}})
 	for port, want := range []TargetID{1, 1, 2, 2, 2} {
-		if id := b.open(uint16(port), streams); id != want {
+		if id := b.openFlow(uint16(port), streams); id != want {
 			t.Errorf("flow %d opened at %d, want %d", port, id, want)
 		}
 	}
 	b.want(b.handle(packet(99, streams, SYN, 0)), ResetNoTarget)
 }
 
-// The store was away, and all registrations have lapsed when it is back. The targets
-// live and register again within a second or two; until then openings go to them,
-// but to none that had said it would leave, refuses connections, or stays away.
+// All registrations have expired when the store comes back from an outage. The targets are
+// alive and register again within a second or two. Until then openings go to them, except to
+// any that had announced that it leaves, refuses connections, or does not return in time.
 func TestLapsedTargetsServeForAMoment(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"), target1(3, "a"))
 	left := b.state(2).Target
@@ -108,7 +107,7 @@
 	for port := range uint16(5) {
 		d := b.handle(packet(1+port, streams, SYN, 0))
 		if d.Verb != Forward || d.Target.ID != 1 {
-			t.Fatalf("opening: %v, want it to go to the target that lapsed", d.Reason)
+			t.Fatalf("opening: %v, want it to go to the target that expired", d.Reason)
 		}
 	}
 	b.now += lateOpeningWindow
--- a/internal/direct/replay_test.go
+++ b/internal/direct/replay_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// replay is a deployment in simulated time: balancers with the real Forwarder,
-// targets with slots and a short queue, and callers with long flows and short
-// ones. Packets take a fixed time; nothing is lost unless a test says so.
+// replay is a deployment in simulated time: balancers with the real Forwarder, targets with
+// slots and a short queue, and callers with long and short flows. Packets take a fixed time
+// and are not lost unless a test says so.
 type replay struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -20,38 +20,39 @@
 	byID      map[TargetID]*simTarget
 	centres   int
 	nextPort  uint32
-	retries   int // further tries of a caller
-	perFlow   int // requests on a long flow on average; 0: no end
-	// once has callers ask on the route whose requests must not run twice: they do not
-	// try again once their flow is open.
-	once bool
-	// slower multiplies the work of all requests.
-	slower float64
-	// checkLimit is how long a check may take instead of what the balancer says.
+	retries   int // retries of a caller
+	perFlow   int // mean number of requests on a long flow; 0 for no limit
+	// nonIdempotent makes callers use the route with non-idempotent requests, which they do
+	// not retry once their flow is open.
+	nonIdempotent bool
+	// workFactor multiplies the work of all requests.
+	workFactor float64
+	// checkLimit, if not 0, replaces the balancers' timeout of checks.
 	checkLimit time.Duration
 
-	goal   time.Duration
-	asked  int
-	inGoal int
-	late   int
-	shed   int // requests turned away by a full target
-	failed int
-	far    int // openings to another data centre
-	opened int
-	sum    struct{ busiest, mean float64 }
+	goal     time.Duration
+	requests int
+	inGoal   int
+	late     int
+	refused  int // requests refused by a full target
+	failed   int
+	far      int // openings to another data centre
+	opened   int
+	sum      struct{ busiest, mean float64 }
 }
 
-// Times of the replayed deployments.
+// Delays and sizes of the simulation.
 const (
-	simNear   = 300 * time.Microsecond // between a balancer and a target near by
-	simFar    = 900 * time.Microsecond // and one in another data centre
-	simCaller = 3 * time.Millisecond   // between a caller and the rest
+	simNear   = 300 * time.Microsecond // one way between a balancer and a target nearby
+	simFar    = 900 * time.Microsecond // to one in another data centre
+	simCaller = 3 * time.Millisecond   // one way between a caller and a data centre
 	simSlots  = 2
 	simQueue  = 8
-	// simSmall is the number of balancers up to which they tell one another their loads.
-	simSmall = 16
-	// simTurnedAway is how long a full target takes to turn a check away.
-	simTurnedAway = 200 * time.Millisecond
+	// simSmallFleet is the number of balancers up to which they report their loads to one
+	// another.
+	simSmallFleet = 16
+	// simCheckRefusal is how long a full target takes to refuse a check.
+	simCheckRefusal = 200 * time.Millisecond
 )
 
 type balancer struct {
@@ -61,25 +62,25 @@
 
 type simTarget struct {
 	Target
-	centre  int
-	running int
-	queue   []*simRequest
-	dead    bool // crashed: openings are answered with resets at once
-	dark    bool // lost power: nothing is answered
-	served  int
-	opened  int     // openings that reached it
-	slow    float64 // factor of the work
-	sick    sickness
-	share   float64 // of the requests that it fails
-	bad     int     // requests that it failed
+	centre       int
+	running      int
+	queue        []*simRequest
+	crashed      bool // openings are answered with resets at once
+	unreachable  bool // lost power: no answers at all
+	served       int
+	opened       int     // openings received
+	slow         float64 // factor on the work
+	failure      failureMode
+	failureShare float64 // share of requests that it fails
+	failed       int     // requests that it failed
 }
 
 type simRequest struct {
-	flow  *simFlow
-	asked time.Duration // the caller's first try
-	work  time.Duration
-	tries int
-	check func() // a health check rather than a request
+	flow      *simFlow
+	startedAt time.Duration // of the caller's first try
+	work      time.Duration
+	tries     int
+	check     func() // set for a health check instead of a request
 }
 
 type simFlow struct {
@@ -115,23 +116,23 @@
 }
 
 var (
-	simAddress = netip.MustParseAddrPort("198.18.0.1:443")
-	simOnce    = netip.MustParseAddrPort("198.18.0.2:443") // its requests must not run twice
+	simAddress       = netip.MustParseAddrPort("198.18.0.1:443")
+	simNonIdempotent = netip.MustParseAddrPort("198.18.0.2:443") // non-idempotent requests
 )
 
-// newReplay builds data centres with so many balancers and targets each.
+// newReplay builds data centres with the given numbers of balancers and targets.
 func newReplay(seed uint64, balancers, targets []int) *replay {
 	return newReplayWithout(seed, balancers, targets, 0)
 }
 
-// newReplayWithout is newReplay with some mechanisms of the balancers switched off.
+// newReplayWithout is newReplay with some features of the balancers turned off.
 func newReplayWithout(seed uint64, balancers, targets []int, without MechanismSet) *replay {
-	r := &replay{rng: rand.New(rand.NewPCG(seed, 9)), byID: map[TargetID]*simTarget{}, centres: len(targets), goal: 150 * time.Millisecond, retries: 2, slower: 1}
+	r := &replay{rng: rand.New(rand.NewPCG(seed, 9)), byID: map[TargetID]*simTarget{}, centres: len(targets), goal: 150 * time.Millisecond, retries: 2, workFactor: 1}
 	cat := &Catalogue{
 		Version: 1,
 		Routes: map[netip.AddrPort]Route{
-			simAddress: {Name: "r", Address: simAddress, Backends: []Backend{{"s", 1}}, Kind: Idempotent},
-			simOnce:    {Name: "once", Address: simOnce, Backends: []Backend{{"s", 1}}, Kind: NonIdempotent},
+			simAddress:       {Name: "r", Address: simAddress, Backends: []Backend{{"s", 1}}, Kind: Idempotent},
+			simNonIdempotent: {Name: "once", Address: simNonIdempotent, Backends: []Backend{{"s", 1}}, Kind: NonIdempotent},
 		},
 		Services: map[string]Service{"s": {Name: "s"}},
 	}
@@ -153,7 +154,7 @@
 			r.balancers = append(r.balancers, &balancer{f: f, centre: c})
 		}
 	}
-	r.every(100*time.Millisecond, func() { r.exchange() })
+	r.every(100*time.Millisecond, func() { r.tick() })
 	return r
 }
 
@@ -177,8 +178,8 @@
 	r.now = until
 }
 
-// exchange is a tick of all balancers: they tell one another their loads.
-func (r *replay) exchange() {
+// tick is the periodic work of all balancers, which exchange their loads and outcomes.
+func (r *replay) tick() {
 	loads := make([]map[TargetID]Load, len(r.balancers))
 	for i, b := range r.balancers {
 		loads[i] = b.f.Loads()
@@ -191,21 +192,21 @@
 		b.f.SetPeerOutcomes(others(answers, i, Outcome.Plus), r.inCentre(b.centre))
 	}
 	for i, b := range r.balancers {
-		if len(r.balancers) <= simSmall {
+		if len(r.balancers) <= simSmallFleet {
 			b.f.SetPeerLoads(others(loads, i, Load.Plus))
 		} else {
 			b.f.SetFlowSpread(r.inCentre(b.centre))
 		}
 		b.f.Tick(r.now)
-		r.check(b)
+		r.startChecks(b)
 	}
 	r.imbalance()
 }
 
-// others sums what all balancers but the i-th tell.
-func others[T any](told []map[TargetID]T, i int, plus func(T, T) T) map[TargetID]T {
+// others returns the sum of the reports of all balancers but the i-th.
+func others[T any](reports []map[TargetID]T, i int, plus func(T, T) T) map[TargetID]T {
 	sum := map[TargetID]T{}
-	for j, m := range told {
+	for j, m := range reports {
 		if j == i {
 			continue
 		}
@@ -237,11 +238,11 @@
 	r.sum.mean += float64(total) / float64(len(r.targets))
 }
 
-// openFlows are the flows by key, to deliver resets that come on their own.
+// openFlows maps flows by key, to deliver resets that balancers send on their own.
 var openFlows = map[FlowKey]*simFlow{}
 
 func (r *replay) reset(k FlowKey) {
 	if fl := openFlows[k]; fl != nil {
-		r.after(simCaller, func() { r.broken(fl) })
+		r.after(simCaller, func() { r.breakFlow(fl) })
 	}
 }
--- a/internal/direct/replayflow_test.go
+++ b/internal/direct/replayflow_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// request asks on a new flow from a data centre.
+// request sends a request on a new flow from a data centre.
 func (r *replay) request(centre int, long bool, work time.Duration) *simFlow {
-	r.asked++
-	q := &simRequest{asked: r.now, work: work}
+	r.requests++
+	q := &simRequest{startedAt: r.now, work: work}
 	return r.open(centre, long, q)
 }
 
@@ -23,8 +23,8 @@
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, byte(centre), byte(r.nextPort >> 16), 1}), uint16(r.nextPort))
 	fl := &simFlow{b: near[r.rng.IntN(len(near))], long: long, waiting: q}
 	fl.seg = Segment{Caller: caller, Address: simAddress, Seq: 100, Flags: SYN}
-	if r.once {
-		fl.seg.Address = simOnce
+	if r.nonIdempotent {
+		fl.seg.Address = simNonIdempotent
 	}
 	q.flow = fl
 	openFlows[fl.seg.Flow()] = fl
@@ -40,7 +40,7 @@
 	}
 	r.after(1400*time.Millisecond, func() {
 		if !fl.open {
-			r.broken(fl)
+			r.breakFlow(fl)
 		}
 	})
 	return fl
@@ -55,19 +55,19 @@
 			r.far++
 		}
 		r.deliver(fl, d, func(t *simTarget) {
-			r.after(2*simCaller, func() { r.opened2(fl, t) })
+			r.after(2*simCaller, func() { r.sendFirst(fl, t) })
 		})
 	})
 }
 
-// deliver takes a decision to its target.
+// deliver carries out a decision and calls arrived when the packet reaches its target.
 func (r *replay) deliver(fl *simFlow, d Decision, arrived func(*simTarget)) {
 	if fl.b.f.ChecksDue() {
-		r.check(fl.b)
+		r.startChecks(fl.b)
 	}
 	switch d.Verb {
 	case Reset:
-		r.after(simCaller, func() { r.broken(fl) })
+		r.after(simCaller, func() { r.breakFlow(fl) })
 		return
 	case Drop:
 		return
@@ -79,9 +79,9 @@
 	}
 	r.after(took, func() {
 		switch {
-		case t.dark:
-		case t.dead:
-			r.after(simCaller, func() { r.broken(fl) })
+		case t.unreachable:
+		case t.crashed:
+			r.after(simCaller, func() { r.breakFlow(fl) })
 		default:
 			if !fl.open {
 				t.opened++
@@ -91,9 +91,9 @@
 	})
 }
 
-// opened2 is the caller's first packet after the answer to its opening: it
-// carries the request.
-func (r *replay) opened2(fl *simFlow, t *simTarget) {
+// sendFirst sends the caller's first packet after the answer to its opening. It carries the
+// request.
+func (r *replay) sendFirst(fl *simFlow, t *simTarget) {
 	if fl.open || fl.dead {
 		return
 	}
@@ -102,43 +102,43 @@
 	fl.seg.Cookie = t.ID.Cookie()
 	fl.seg.Flags = ACK
 	fl.seg.Seq, fl.seg.Ack = 101, 1000
-	r.ask(fl, fl.waiting)
+	r.sendRequest(fl, fl.waiting)
 }
 
-// ask sends a request on an open flow.
-func (r *replay) ask(fl *simFlow, q *simRequest) {
+// sendRequest sends a request on an open flow.
+func (r *replay) sendRequest(fl *simFlow, q *simRequest) {
 	fl.waiting = q
 	q.flow = fl
 	fl.seg.Len = 300
 	d := fl.b.f.Handle(r.now, &fl.seg)
 	r.deliver(fl, d, func(t *simTarget) { r.arrive(t, q) })
-	r.repeat(fl, q, 200*time.Millisecond)
+	r.retransmit(fl, q, 200*time.Millisecond)
 	r.after(simDeadline, func() {
-		if fl.waiting == q && fl.seg.Address == simOnce {
-			r.broken(fl)
+		if fl.waiting == q && fl.seg.Address == simNonIdempotent {
+			r.breakFlow(fl)
 		}
 	})
 }
 
-// repeat sends the request's packet again while nothing acknowledges it.
-func (r *replay) repeat(fl *simFlow, q *simRequest, d time.Duration) {
+// retransmit sends the request's packet again while it is not acknowledged.
+func (r *replay) retransmit(fl *simFlow, q *simRequest, d time.Duration) {
 	r.after(d, func() {
-		if fl.dead || fl.waiting != q || !fl.t.dark && !fl.t.dead {
+		if fl.dead || fl.waiting != q || !fl.t.unreachable && !fl.t.crashed {
 			return
 		}
 		r.deliver(fl, fl.b.f.Handle(r.now, &fl.seg), func(*simTarget) {})
-		r.repeat(fl, q, 2*d)
+		r.retransmit(fl, q, 2*d)
 	})
 }
 
 func (r *replay) arrive(t *simTarget, q *simRequest) {
 	if !r.admit(t, q) {
-		r.shed++
-		r.after(simCaller, func() { r.broken(q.flow) })
+		r.refused++
+		r.after(simCaller, func() { r.breakFlow(q.flow) })
 	}
 }
 
-// admit starts a request at a target or puts it into its queue, unless that is full.
+// admit starts a request at a target or queues it. It returns false if the queue is full.
 func (r *replay) admit(t *simTarget, q *simRequest) bool {
 	switch {
 	case t.running < simSlots:
@@ -152,13 +152,13 @@
 }
 
 func (r *replay) start(t *simTarget, q *simRequest) {
-	if q.check == nil && t.share > 0 && r.rng.Float64() < t.share {
+	if q.check == nil && t.failureShare > 0 && r.rng.Float64() < t.failureShare {
 		r.fail(t, q)
 		return
 	}
 	t.running++
 	r.after(time.Duration(float64(q.work)*t.slow), func() {
-		if t.dead || t.dark {
+		if t.crashed || t.unreachable {
 			return
 		}
 		t.running--
@@ -174,33 +174,33 @@
 			q.check()
 			return
 		}
-		r.after(simCaller, func() { r.done(q) })
+		r.after(simCaller, func() { r.answer(q) })
 	})
 }
 
-// Times of requests that fail.
+// Timing of requests that fail.
 const (
 	simError    = 5 * time.Millisecond // until a target answers with an error
 	simDeadline = 2500 * time.Millisecond
 )
 
-// fail is what a sick target does with a request instead of serving it.
+// fail makes a failing target handle a request according to its failure mode.
 func (r *replay) fail(t *simTarget, q *simRequest) {
-	t.bad++
+	t.failed++
 	fl := q.flow
-	switch t.sick {
-	case failsAtOnce:
-		r.after(simError+simCaller, func() { r.refused(q) })
+	switch t.failure {
+	case failsWithError:
+		r.after(simError+simCaller, func() { r.answerError(q) })
 	case hangs:
-		r.after(simDeadline-(r.now-q.asked), func() { r.broken(fl) })
+		r.after(simDeadline-(r.now-q.startedAt), func() { r.breakFlow(fl) })
 	case breaks:
-		r.after(simError+simCaller, func() { r.broken(fl) })
+		r.after(simError+simCaller, func() { r.breakFlow(fl) })
 	}
 }
 
-// refused is a short answer at the caller, which acknowledges it and asks again on
-// a new flow.
-func (r *replay) refused(q *simRequest) {
+// answerError delivers a short answer to the caller, which acknowledges it and retries on a
+// new flow.
+func (r *replay) answerError(q *simRequest) {
 	fl := q.flow
 	if fl.dead || fl.waiting != q {
 		return
@@ -211,17 +211,17 @@
 	fl.seg.Flags |= FIN
 	last := fl.seg
 	r.after(simCaller, func() { fl.b.f.Handle(r.now, &last) })
-	r.broken(fl)
+	r.breakFlow(fl)
 }
 
-// done is the answer at the caller, which acknowledges it.
-func (r *replay) done(q *simRequest) {
+// answer delivers the answer to the caller, which acknowledges it.
+func (r *replay) answer(q *simRequest) {
 	fl := q.flow
 	if fl.dead || fl.waiting != q {
 		return
 	}
 	fl.waiting = nil
-	if r.now-q.asked <= r.goal {
+	if r.now-q.startedAt <= r.goal {
 		r.inGoal++
 	} else {
 		r.late++
@@ -238,8 +238,8 @@
 	}
 }
 
-// broken ends a flow at the caller, who tries again if it still waits.
-func (r *replay) broken(fl *simFlow) {
+// breakFlow ends a flow at the caller, which retries if it is still waiting.
+func (r *replay) breakFlow(fl *simFlow) {
 	if fl.dead {
 		return
 	}
@@ -248,10 +248,10 @@
 	if q == nil {
 		return
 	}
-	if q.tries >= r.retries || fl.open && fl.seg.Address == simOnce {
+	if q.tries >= r.retries || fl.open && fl.seg.Address == simNonIdempotent {
 		r.failed++
 		return
 	}
-	again := &simRequest{asked: q.asked, work: q.work, tries: q.tries + 1}
+	again := &simRequest{startedAt: q.startedAt, work: q.work, tries: q.tries + 1}
 	r.after(10*time.Millisecond, func() { r.open(int(fl.b.centre), fl.long, again) })
 }
--- a/internal/direct/replayload_test.go
+++ b/internal/direct/replayload_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// load sends requests of a mix like the users': seven tenths on long flows of
-// one request a second, the rest on flows of their own.
+// load generates requests like the users' mix: about three quarters on long flows with one
+// request a second, the rest on flows of their own.
 func (r *replay) load(centre int, perSecond float64, until time.Duration) {
 	long := int(perSecond * 0.77)
 	for range long {
-		r.user(centre, until)
+		r.longFlowCaller(centre, until)
 	}
 	fresh := perSecond * 0.23
 	var next func()
@@ -25,8 +25,9 @@
 	r.after(r.exp(1/fresh), next)
 }
 
-// user keeps one flow open and asks about once a second.
-func (r *replay) user(centre int, until time.Duration) {
+// longFlowCaller simulates a caller that keeps one flow open and sends about one request a
+// second.
+func (r *replay) longFlowCaller(centre int, until time.Duration) {
 	var fl *simFlow
 	var next func()
 	next = func() {
@@ -40,15 +41,15 @@
 			r.close(fl)
 			fl = r.request(centre, true, r.work(30))
 		case fl.waiting == nil:
-			r.asked++
-			r.ask(fl, &simRequest{asked: r.now, work: r.work(30)})
+			r.requests++
+			r.sendRequest(fl, &simRequest{startedAt: r.now, work: r.work(30)})
 		}
 		r.after(r.exp(1), next)
 	}
 	r.after(r.exp(1), next)
 }
 
-// close ends a flow from the caller's side.
+// close ends a flow at the caller.
 func (r *replay) close(fl *simFlow) {
 	fl.dead = true
 	last := fl.seg
@@ -57,8 +58,8 @@
 }
 
 func (r *replay) work(mean float64) time.Duration {
-	x := r.slower * mean * (0.5 + r.rng.ExpFloat64()*0.5)
-	return time.Duration(min(x, 6*r.slower*mean) * float64(time.Millisecond))
+	x := r.workFactor * mean * (0.5 + r.rng.ExpFloat64()*0.5)
+	return time.Duration(min(x, 6*r.workFactor*mean) * float64(time.Millisecond))
 }
 
 func (r *replay) exp(seconds float64) time.Duration {
@@ -66,9 +67,9 @@
 }
 
 // share returns n as a share of the requests.
-func (r *replay) share(n int) float64 { return float64(n) / float64(r.asked) }
+func (r *replay) share(n int) float64 { return float64(n) / float64(r.requests) }
 
-// String sums the replay up.
+// String summarises the replay.
 func (r *replay) String() string {
 	served := make([]int, 0, len(r.targets))
 	for _, t := range r.targets {
@@ -76,6 +77,6 @@
 	}
 	sort.Ints(served)
 	return fmt.Sprintf("asked %d, in goal %.3f, late %.3f, shed %d, failed %d, far %.2f, busiest/mean %.2f, served %v",
-		r.asked, r.share(r.inGoal), r.share(r.late), r.shed, r.failed,
+		r.requests, r.share(r.inGoal), r.share(r.late), r.refused, r.failed,
 		float64(r.far)/float64(max(r.opened, 1)), r.sum.busiest/r.sum.mean, served)
 }
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -5,72 +5,71 @@
 	"time"
 )
 
-// started returns a start of a target as registered at a revision.
-func started(id TargetID, millis, number int64) Target {
+// startedTarget returns one start of a target as registered at a revision.
+func startedTarget(id TargetID, millis, number int64) Target {
 	x := target1(id, "a")
 	x.Born = Born{Known: true, Millis: millis}
 	x.Revision = rev(number)
 	return x
 }
 
-// older returns a fixture with a target and three flows there that were open when
-// the list of targets was last complete: an idle one, one that waits for an answer
-// it may ask for again, and one that must not run twice.
-func older(t *testing.T) *fixture {
-	b := newFixture(t, started(1, 1000, 10))
-	b.open(1, streams)
-	b.open(2, streams)
-	b.open(3, notes)
+// newOlderStart returns a fixture with a target and three flows there that were open when the
+// list of targets was last complete: an idle flow, one that waits for the answer to an
+// idempotent request, and one that waits for that to a non-idempotent request.
+func newOlderStart(t *testing.T) *fixture {
+	b := newFixture(t, startedTarget(1, 1000, 10))
+	b.openFlow(1, streams)
+	b.openFlow(2, streams)
+	b.openFlow(3, notes)
 	b.now += registrationDelay + 10*time.Millisecond
 	b.f.SetListCompleteAt(b.now)
-	b.ask(2, streams, 1, 101, 1000)
-	b.ask(3, notes, 1, 101, 1000)
+	b.sendRequest(2, streams, 1, 101, 1000)
+	b.sendRequest(3, notes, 1, 101, 1000)
 	return b
 }
 
-// A target crashes and starts again under its identifier. Callers with idle flows
-// would send the next request there, where it is lost; they get a reset first. So do
-// those whose request may be repeated. A note that may have run is left to the target.
+// A target crashes and starts again under its identifier. Requests on flows of the older
+// start would be lost, so idle flows and those with an idempotent request are reset. A
+// non-idempotent request that may have run is left to the target.
 func TestFlowsOfAnOlderStartAreReset(t *testing.T) {
-	b := older(t)
+	b := newOlderStart(t)
 	b.now += 200 * time.Millisecond
-	lost := b.f.PutTarget(b.now, started(1, 5000, 20))
+	lost := b.f.PutTarget(b.now, startedTarget(1, 5000, 20))
 	if len(lost) != 2 || lost[0].Caller.Port() != 1 || lost[1].Caller.Port() != 2 {
 		t.Errorf("reset %v, want the flows of ports 1 and 2", lost)
 	}
 	if x := b.state(1); x.flows != 0 || x.busy != 0 {
 		t.Errorf("the new start has %d flows and %d requests of the older one", x.flows, x.busy)
 	}
-	b.want(b.ask(3, notes, 1, 101, 1000), Forwarded)
+	b.want(b.sendRequest(3, notes, 1, 101, 1000), Forwarded)
 	if got := b.f.Count(ResetRestarted); got != 2 {
 		t.Errorf("counter %d, want 2", got)
 	}
 }
 
-// A target starts again, a caller opens a flow there through this balancer, and only
-// then the registration of the new start arrives. The flow belongs to the new start: a
-// reset would end a request of a target that lives.
+// A caller opens a flow to the new start of a target before its registration arrives here.
+// The flow must not be reset.
 func TestFlowsOfTheNewStartStay(t *testing.T) {
-	b := older(t)
-	b.now += 100 * time.Millisecond // it has started again, unknown here
-	b.open(4, streams)
-	b.ask(4, streams, 1, 101, 1000)
+	b := newOlderStart(t)
+	b.now += 100 * time.Millisecond // it has restarted, which is not known here yet
+	b.openFlow(4, streams)
+	b.sendRequest(4, streams, 1, 101, 1000)
 	b.now += 300 * time.Millisecond
-	for _, s := range b.f.PutTarget(b.now, started(1, 5000, 20)) {
+	for _, s := range b.f.PutTarget(b.now, startedTarget(1, 5000, 20)) {
 		if s.Caller.Port() == 4 {
 			t.Error("a flow of the new start was reset")
 		}
 	}
-	b.want(b.ask(4, streams, 1, 401, 2000), Forwarded)
+	b.want(b.sendRequest(4, streams, 1, 401, 2000), Forwarded)
 	if x := b.state(1); x.flows != 1 || x.busy != 1 {
 		t.Errorf("the new start has %d flows and %d requests, want 1 and 1", x.flows, x.busy)
 	}
 }
 
-// The older start was found dead, suspected, failing, leaving and loaded. The new one
-// knows nothing of that, and gets callers at once.
-func TestNothingOfTheOlderStartStays(t *testing.T) {
-	b := older(t)
+// The older start was dead, suspected, failing, leaving and loaded. The new one has none of
+// that state and gets new flows at once.
+func TestStateOfOlderStartIsDropped(t *testing.T) {
+	b := newOlderStart(t)
 	x := b.state(1)
 	x.dead, x.failing, x.extraLoad, x.finding, x.failedChecks = true, true, 9, Gone, 2
 	x.avoidUntil = b.now + time.Minute
@@ -78,7 +77,7 @@
 	x.peerLoad, x.peerOutcome = Load{5, 5}, Outcome{0, 5}
 	b.f.outcomes.recentlyFailed[x] = true
 	b.f.addSuspect(x)
-	b.f.PutTarget(b.now, started(1, 500, 20)) // its clock was set back meanwhile
+	b.f.PutTarget(b.now, startedTarget(1, 500, 20)) // its clock was set back
 	if got := b.state(1).state(b.now); got != "ready" {
 		t.Errorf("the new start is %s", got)
 	}
@@ -93,41 +92,41 @@
 	}
 }
 
-// A draining target goes and starts again under its identifier: the new start does
-// not leave.
+// A draining target ends and starts again under its identifier. The new start is not
+// draining.
 func TestRestartAfterDraining(t *testing.T) {
-	leaving := started(1, 1000, 10)
+	leaving := startedTarget(1, 1000, 10)
 	leaving.Draining = true
 	b := newFixture(t, leaving)
 	b.f.RemoveTarget(b.now, 1)
 	b.now += time.Second
-	b.f.PutTarget(b.now, started(1, 5000, 20))
+	b.f.PutTarget(b.now, startedTarget(1, 5000, 20))
 	if got := b.state(1).state(b.now); got != "ready" {
 		t.Errorf("the new start is %s", got)
 	}
 }
 
-// An old registration comes late, from a peer that lags: it must not put the older
-// start in the place of the newer, whatever their clocks say.
+// A late registration of the older start, from a peer that lags behind, must not replace the
+// newer start, whatever their clocks say.
 func TestLateRegistrationIsIgnored(t *testing.T) {
-	b := newFixture(t, started(1, 1000, 10))
-	b.f.PutTarget(b.now, started(1, 500, 20))
-	if lost := b.f.PutTarget(b.now, started(1, 1000, 10)); len(lost) != 0 || b.state(1).Born.Millis != 500 {
+	b := newFixture(t, startedTarget(1, 1000, 10))
+	b.f.PutTarget(b.now, startedTarget(1, 500, 20))
+	if lost := b.f.PutTarget(b.now, startedTarget(1, 1000, 10)); len(lost) != 0 || b.state(1).Born.Millis != 500 {
 		t.Errorf("start %v is in force, want that of the later revision", b.state(1).Born)
 	}
 }
 
-// A check of the older start ends after the new one was heard of, and a peer that has
-// not heard of it tells what it knows. Neither says anything of the new start.
-func TestNewsOfAnOlderStartIsIgnored(t *testing.T) {
-	b := older(t)
+// Results of a check of the older start, and reports of peers that do not know the new one,
+// must not affect the new start.
+func TestReportsAboutOlderStartAreIgnored(t *testing.T) {
+	b := newOlderStart(t)
 	b.f.addSuspect(b.state(1))
 	b.state(1).checkWanted = true
 	checked := b.f.TargetsToCheck(b.now)
 	if len(checked) != 1 {
 		t.Fatalf("%d checks, want 1", len(checked))
 	}
-	b.f.PutTarget(b.now, started(1, 5000, 20))
+	b.f.PutTarget(b.now, startedTarget(1, 5000, 20))
 	if v := b.f.Checked(b.now, checked[0].Start(), Gone); v.Notify || b.state(1).dead {
 		t.Error("a check of the older start was taken for one of the new")
 	}
@@ -139,32 +138,32 @@
 	}
 }
 
-// A health answer names another start than the registration. The registration will
-// follow; until then new flows stay away, as the service may be another one, and open
-// ones stay, as some may belong to the new start.
+// A health answer shows another start than the registered one. Until its registration
+// arrives, new flows stay away, as the service may differ, and open ones stay, as some may
+// belong to the new start.
 func TestCheckFindsAnotherStart(t *testing.T) {
-	b := older(t)
-	if v := b.f.Checked(b.now, started(1, 1000, 10).Start(), Restarted); len(v.Resets) != 0 || !v.Notify {
-		t.Errorf("verdict %+v", v)
+	b := newOlderStart(t)
+	if v := b.f.Checked(b.now, startedTarget(1, 1000, 10).Start(), Restarted); len(v.Resets) != 0 || !v.Notify {
+		t.Errorf("result %+v", v)
 	}
 	b.want(b.handle(packet(9, streams, SYN, 0)), ResetNoTarget)
-	b.want(b.ask(1, streams, 1, 101, 1000), Forwarded)
-	b.f.PutTarget(b.now, started(1, 5000, 20))
+	b.want(b.sendRequest(1, streams, 1, 101, 1000), Forwarded)
+	b.f.PutTarget(b.now, startedTarget(1, 5000, 20))
 	if d := b.handle(packet(10, streams, SYN, 0)); d.Verb != Forward {
 		t.Errorf("opening: %v", d.Reason)
 	}
 }
 
-// A target starts again as another service, elsewhere. Callers of the old service
-// must not be sent there, and those of the new one must.
+// A target starts again as another service in another data centre. Callers of the new service
+// are sent there, those of the old one are not.
 func TestRestartAsAnotherService(t *testing.T) {
 	for name, born := range map[string]Born{"another start": {Known: true, Millis: 5000}, "the same start": {Known: true, Millis: 1000}} {
-		b := newFixture(t, started(1, 1000, 10))
+		b := newFixture(t, startedTarget(1, 1000, 10))
 		c := testCatalogue()
 		c.Services["x"] = Service{Name: "x"}
 		c.Routes[extraRoute] = Route{Address: extraRoute, Backends: []Backend{{"x", 1}}, Kind: Idempotent}
 		b.f.SetCatalogue(c)
-		moved := started(1, 0, 20)
+		moved := startedTarget(1, 0, 20)
 		moved.Born, moved.Service, moved.DataCenter = born, "x", "b"
 		b.f.PutTarget(b.now, moved)
 		b.want(b.handle(packet(1, streams, SYN, 0)), ResetNoTarget)
@@ -175,10 +174,10 @@
 	}
 }
 
-// A registration without a start is ordinary. One that begins or ceases to tell it is
-// another start, but its flows are not certain to be lost: none is reset.
-func TestStartThatIsNotTold(t *testing.T) {
-	b := older(t)
+// A registration need not contain a start. One that adds or omits it counts as another start,
+// but its flows are not certain to be lost, so none is reset.
+func TestUnknownStart(t *testing.T) {
+	b := newOlderStart(t)
 	plain := target1(1, "a")
 	plain.Revision = rev(20)
 	if lost := b.f.PutTarget(b.now, plain); len(lost) != 0 {
@@ -187,32 +186,31 @@
 	if x := b.state(1); x.flows != 3 {
 		t.Errorf("%d flows, want the 3 open ones", x.flows)
 	}
-	b.want(b.ask(1, streams, 1, 101, 1000), Forwarded)
+	b.want(b.sendRequest(1, streams, 1, 101, 1000), Forwarded)
 }
 
-// Another program overwrites a target's registration with something unusable. New
-// flows stay away, open ones go on, and once it is mended the target is as before.
-func TestUnusableRegistration(t *testing.T) {
-	b := newFixture(t, started(1, 1000, 10))
-	b.open(1, streams)
+// Another program overwrites a target's registration with an invalid one. New flows stay away
+// and open ones continue. A valid registration restores the target.
+func TestInvalidRegistration(t *testing.T) {
+	b := newFixture(t, startedTarget(1, 1000, 10))
+	b.openFlow(1, streams)
 	b.f.DisableTarget(1)
 	b.want(b.handle(packet(2, streams, SYN, 0)), ResetNoTarget)
-	b.want(b.ask(1, streams, 1, 101, 1000), Forwarded)
+	b.want(b.sendRequest(1, streams, 1, 101, 1000), Forwarded)
 	if got := b.state(1).state(b.now); got != "unusable" {
 		t.Errorf("state %s", got)
 	}
 	b.f.RemoveTarget(b.now, 1)
-	b.want(b.handle(packet(3, streams, SYN, 0)), ResetNoTarget) // not even as one that has just lapsed
-	b.f.PutTarget(b.now, started(1, 1000, 30))
+	b.want(b.handle(packet(3, streams, SYN, 0)), ResetNoTarget) // not even as one that has just expired
+	b.f.PutTarget(b.now, startedTarget(1, 1000, 30))
 	if d := b.handle(packet(4, streams, SYN, 0)); d.Verb != Forward {
-		t.Errorf("opening after it was mended: %v", d.Reason)
+		t.Errorf("opening after the registration became valid: %v", d.Reason)
 	}
 }
 
-// A balancer starts while a living target's registration is unusable. Packets of the
-// target's flows come here with its cookie: they must not be reset, as the target
-// holds the flows, and once the entry is gone they must.
-func TestFlowsOfAnUnreadableTarget(t *testing.T) {
+// A balancer starts while the registration of a living target is invalid. Packets with the
+// target's cookie must not be reset until the registration is gone.
+func TestFlowsOfTargetWithInvalidRegistration(t *testing.T) {
 	b := newFixture(t)
 	b.f.DisableTarget(77)
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
@@ -226,13 +224,14 @@
 	b.want(b.handle(packet(1, streams, ACK, 77)), ResetUnknown)
 }
 
-// The store comes back from an older copy. Entries that say less than is known must not
-// count until the targets have written again: a target that leaves would get flows, one that
-// has left would come back, and the flows of a start that the copy lacks would be reset.
-func TestOlderCopySaysLess(t *testing.T) {
+// After a restore of the store from an older copy, registrations less recent than what is
+// known must be held back until the targets have written again. Otherwise a leaving target
+// would get flows, one that has left would return, and flows of a start missing in the copy
+// would be reset.
+func TestKnowsNewer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		known func(*fixture, Target) // what happened after the copy was made
+		known func(*fixture, Target) // events after the copy was made
 		want  bool
 	}{
 		{"nothing", func(*fixture, Target) {}, false},
@@ -251,14 +250,14 @@
 		}, false},
 	} {
 		b := newFixture(t)
-		x := started(77, 1000, 5)
+		x := startedTarget(77, 1000, 5)
 		b.f.PutTarget(b.now, x)
 		c.known(b, x)
 		if got := b.f.KnowsNewer(x); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if newFixture(t).f.KnowsNewer(started(78, 1000, 5)) {
+	if newFixture(t).f.KnowsNewer(startedTarget(78, 1000, 5)) {
 		t.Error("nothing is known of the target")
 	}
 }
--- a/internal/direct/spill_test.go
+++ b/internal/direct/spill_test.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// crowdedDay has callers of one of three data centres come in 2.6 times the usual number
-// for five seconds; so many balancers and targets stand in each data centre.
-func crowdedDay(seed uint64, balancers, targets int, without MechanismSet) *replay {
+// runCrowded simulates three equal data centres. The callers of one send 2.6 times the normal
+// load for five seconds.
+func runCrowded(seed uint64, balancers, targets int, without MechanismSet) *replay {
 	r := newReplayWithout(seed, []int{balancers, balancers, balancers}, []int{targets, targets, targets}, without)
-	r.slower, r.goal = 2, 500*time.Millisecond
-	usual := capacity(targets) / r.slower * 0.5
+	r.workFactor, r.goal = 2, 500*time.Millisecond
+	normal := capacity(targets) / r.workFactor * 0.5
 	for c := range 3 {
-		r.load(c, usual, 11*time.Second)
+		r.load(c, normal, 11*time.Second)
 	}
 	r.run(5 * time.Second)
-	r.load(0, 1.6*usual, 10*time.Second)
+	r.load(0, 1.6*normal, 10*time.Second)
 	r.run(13 * time.Second)
 	return r
 }
 
-// Callers of one data centre come in numbers. In a large fleet each balancer sees a few of
-// their requests only and takes all targets near by for idle, while their queues are full
-// and turn requests away, beside two data centres with room. How long answers take shows
-// it to each balancer, in fleets of any size.
+// In a large fleet each balancer sees few of the requests of a crowded data centre and takes
+// all its targets for idle, while their queues are full and refuse requests. Response times
+// have to make openings spill to the data centres with room, in fleets of any size.
 func TestFullDataCentreSpills(t *testing.T) {
 	for _, c := range []struct{ balancers, targets int }{{3, 20}, {9, 20}, {29, 40}, {60, 80}} {
-		r, off := crowdedDay(1, c.balancers, c.targets, 0), crowdedDay(1, c.balancers, c.targets, 1<<Spill)
+		r, off := runCrowded(1, c.balancers, c.targets, 0), runCrowded(1, c.balancers, c.targets, 1<<Spill)
 		now, without := r.share(r.inGoal), off.share(off.inGoal)
 		t.Logf("%d balancers a data centre: %.3f in goal, %.3f if all stay near", c.balancers, now, without)
 		if now < 0.97 {
@@ -35,8 +34,9 @@
 	}
 }
 
-// steered is a forwarder whose callers' own data centre "a" and the others have some pace.
-func steered(t *testing.T, near, b, c float64) *fixture {
+// newWithRatios returns a fixture whose data centres "a" (its own), "b" and "c" have the
+// given latency ratios.
+func newWithRatios(t *testing.T, near, b, c float64) *fixture {
 	x := newFixture(t, target1(1, "a"), target1(2, "b"), target1(3, "c"))
 	for id, ratio := range map[TargetID]float64{1: near, 2: b, 3: c} {
 		for range 8 {
@@ -49,31 +49,31 @@
 
 func (b *fixture) shareOf(id TargetID) float64 { return b.state(id).group.spillShare }
 
-// Openings leave a full data centre for those with room only, and a full one that is no
-// fuller than the others keeps its callers: crossing would gain nothing.
-func TestOpeningsGoWhereAnswersAreSooner(t *testing.T) {
+// Openings spill from a full data centre only to those with room. If all are equally full,
+// callers stay, as crossing would gain nothing.
+func TestOpeningsSpillToFasterDataCentres(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		near, b, c float64
 		toB, toC   bool
 	}{
-		{"all calm", 1, 1, 1, false, false},
+		{"all normal", 1, 1, 1, false, false},
 		{"a little slower", 1.6, 1, 1, false, false},
 		{"full beside room", 4, 1, 1, true, true},
 		{"full beside room and a full one", 4, 1, 4, true, false},
 		{"all full", 4, 4, 4, false, false},
 	} {
-		x := steered(t, c.near, c.b, c.c)
+		x := newWithRatios(t, c.near, c.b, c.c)
 		if toB, toC := x.shareOf(2) > 0, x.shareOf(3) > 0; toB != c.toB || toC != c.toC {
 			t.Errorf("%s: openings go to b %v, c %v; want %v, %v", c.name, toB, toC, c.toB, c.toC)
 		}
 	}
 }
 
-// A data centre stays full for long: part of the openings remains, as it tells when there
-// is room again. Then all come back within seconds.
+// While a data centre stays full, part of its openings remain there to show when it has room
+// again. Then all return within seconds.
 func TestSpillIsBoundedAndEnds(t *testing.T) {
-	x := steered(t, 4, 1, 1)
+	x := newWithRatios(t, 4, 1, 1)
 	for range 50 {
 		x.now += 100 * time.Millisecond
 		x.state(1).group.latency.add(x.now, 4)
@@ -93,9 +93,10 @@
 	}
 }
 
-// A data centre to which openings went is cut off, or evacuated: none may follow.
-func TestSpillLeavesCutAndEvacuatedDataCentres(t *testing.T) {
-	x := steered(t, 4, 1, 1)
+// A data centre that received spilled openings is cut off or evacuated. It must not get any
+// more.
+func TestSpillAvoidsCutAndEvacuatedDataCentres(t *testing.T) {
+	x := newWithRatios(t, 4, 1, 1)
 	x.f.Evacuate(x.now, "b", rev(7))
 	for range 8 {
 		x.state(3).group.latency.add(x.now, unansweredRatio)
@@ -116,10 +117,10 @@
 	}
 }
 
-// All targets near by are lost or evacuated: callers go to the other data centres by their
-// room, not all to one.
-func TestAwayByRoom(t *testing.T) {
-	x := steered(t, 1, 1, 3)
+// With all targets nearby evacuated, callers are spread over the other data centres by their
+// free capacity.
+func TestDrawAwayFollowsRoom(t *testing.T) {
+	x := newWithRatios(t, 1, 1, 3)
 	x.f.Evacuate(x.now, "a", rev(7))
 	got := map[TargetID]int{}
 	for port := uint16(2000); port < 2400; port++ {
@@ -130,22 +131,22 @@
 	}
 }
 
-// A balancer reads packets that waited in its socket together, so that the first answers of
-// a route seem to take no time. Later ones must still show a full data centre.
-func TestPaceAfterAnswersInNoTime(t *testing.T) {
+// Packets read from the socket together show response times of zero for the first answers of
+// a route. Later answers must still show whether a data centre is full.
+func TestLatencyRatioAfterZeroTimes(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "b"))
 	u := b.f.baselineOf(streams)
 	for range 2 * minSamples {
 		u.learn(0, 2000)
 		u.learnLongTerm(0)
 	}
-	id := b.open(1, streams)
-	b.ask(1, streams, id, 101, 1000)
+	id := b.openFlow(1, streams)
+	b.sendRequest(1, streams, id, 101, 1000)
 	b.now += 50 * time.Millisecond
 	s := packet(1, streams, ACK, id.Cookie())
 	s.Seq, s.Ack = 401, 3000
 	b.handle(s)
 	if p := b.state(id).group.latency.current(b.now, 1); !(p > 1 && p < 1000) {
-		t.Errorf("pace %v", p)
+		t.Errorf("latency ratio %v", p)
 	}
 }
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// manyTargets is a data centre of n targets and an idle one elsewhere.
+// manyTargets returns n targets in data centre "a" and an idle one in "b".
 func manyTargets(n int) []Target {
 	out := []Target{target1(100, "b")}
 	for i := range n {
@@ -15,43 +15,42 @@
 	return out
 }
 
-// alive shows life of a target, by an answered request on a flow of its own.
-func (b *fixture) alive(id TargetID) {
-	s := packet(aliveFlow(id), streams, ACK, id.Cookie())
+// showAlive makes a target show life by an answered request on a flow of its own.
+func (b *fixture) showAlive(id TargetID) {
+	s := packet(alivePort(id), streams, ACK, id.Cookie())
 	s.Ack = uint32(b.now / time.Millisecond)
 	b.handle(s)
 }
 
-// aliveFlow is the port of the flow by which alive shows a target's life.
-func aliveFlow(id TargetID) uint16 { return uint16(2000 + id) }
+// alivePort returns the port of that flow.
+func alivePort(id TargetID) uint16 { return uint16(2000 + id) }
 
-// live shows life of all targets but one, by answered requests on flows of
-// their own.
-func (b *fixture) live(but TargetID) {
+// showAllAlive makes all targets but one show life.
+func (b *fixture) showAllAlive(but TargetID) {
 	for id := range b.f.targets {
 		if id != but {
-			b.alive(id)
+			b.showAlive(id)
 		}
 	}
 }
 
-// A target loses power while callers wait for it. Two repeats keep new flows
-// away, two checks without an answer reset the waiting callers, who try again
-// elsewhere, and the idle ones, who open a new flow before they ask; a note that may
-// have run is left alone.
+// A target loses power while callers wait for it. Two retransmissions keep new flows away.
+// Two failed checks reset the waiting callers, who retry elsewhere, and the idle ones, who
+// open a new flow before their next request. A non-idempotent request that may have run is
+// left alone.
 func TestSilentTargetIsFound(t *testing.T) {
 	b := newFixture(t, manyTargets(5)...)
 	var waiting []uint16
-	b.live(0)
-	const silent1 = 1 // an idle flow there
-	silent := b.open(silent1, streams)
+	b.showAllAlive(0)
+	const idlePort = 1 // an idle flow there
+	silent := b.openFlow(idlePort, streams)
 	for port := uint16(2); len(waiting) < 3; port++ {
-		if b.open(port, streams) == silent {
+		if b.openFlow(port, streams) == silent {
 			waiting = append(waiting, port)
 		}
 	}
 	note := uint16(500)
-	for b.open(note, notes) != silent {
+	for b.openFlow(note, notes) != silent {
 		note++
 	}
 	b.now += 300 * time.Millisecond
@@ -60,12 +59,12 @@
 		if p == note {
 			to = notes
 		}
-		b.ask(p, to, silent, 101, 1000)
+		b.sendRequest(p, to, silent, 101, 1000)
 	}
 	b.now += 200 * time.Millisecond
-	b.live(silent)
+	b.showAllAlive(silent)
 	for _, p := range waiting {
-		b.want(b.ask(p, streams, silent, 101, 1000), Forwarded)
+		b.want(b.sendRequest(p, streams, silent, 101, 1000), Forwarded)
 	}
 	if b.state(silent).eligible(b.now) {
 		t.Error("new flows still go to the silent target")
@@ -77,7 +76,7 @@
 		}
 		b.f.TargetsToCheck(b.now)
 		b.now += 150 * time.Millisecond
-		b.live(silent)
+		b.showAllAlive(silent)
 		v = b.f.Checked(b.now, Start{ID: silent}, Silent)
 		b.now += confirmPause
 	}
@@ -85,18 +84,18 @@
 	for _, s := range v.Resets {
 		reset = append(reset, s.Caller.Port())
 	}
-	if want := append([]uint16{silent1}, append(waiting, aliveFlow(silent))...); !slices.Equal(reset, want) {
-		t.Errorf("the flows %v are reset, want %v: those that wait and those that are idle", reset, want)
+	if want := append([]uint16{idlePort}, append(waiting, alivePort(silent))...); !slices.Equal(reset, want) {
+		t.Errorf("the flows %v are reset, want the waiting and the idle ones: %v", reset, want)
 	}
-	b.want(b.ask(note, notes, silent, 101, 1000), Forwarded)
+	b.want(b.sendRequest(note, notes, silent, 101, 1000), Forwarded)
 }
 
-// A target's machine is reached, but nothing listens: it has crashed, and every
-// flow of it is over.
-func TestRefusedCheckResetsAtOnce(t *testing.T) {
+// A target's machine is reachable but refuses the connection: the target has crashed, and all
+// its flows are lost.
+func TestRefusedCheckResetsFlows(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	id := b.open(1, notes)
-	b.ask(1, notes, id, 101, 1000)
+	id := b.openFlow(1, notes)
+	b.sendRequest(1, notes, id, 101, 1000)
 	b.now += minRequestTimeout
 	b.f.Tick(b.now)
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
@@ -104,25 +103,25 @@
 	}
 	v := b.f.Checked(b.now, Start{ID: id}, Gone)
 	if len(v.Resets) != 1 || !v.Notify {
-		t.Errorf("verdict %+v, want one reset and news", v)
+		t.Errorf("result %+v, want one reset and a notification", v)
 	}
 	if again := b.f.Checked(b.now, Start{ID: id}, Gone); len(again.Resets) != 0 || again.Notify {
-		t.Errorf("second verdict %+v, want nothing new", again)
+		t.Errorf("second result %+v, want nothing new", again)
 	}
 }
 
-// A target that had said it would leave ends: it takes no more connections, so
-// that a check is refused, while it still answers the requests it has. Those flows
-// must not be reset. One whose caller repeats has ended with it.
+// A target that had announced that it leaves closes its listening socket, so that a check is
+// refused, while it still answers its last requests. Those flows must not be reset. If a
+// caller retransmits, its target has ended.
 func TestEndingTargetAnswersItsLastRequests(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	b.live(0)
-	ending := b.open(1, streams)
+	b.showAllAlive(0)
+	ending := b.openFlow(1, streams)
 	leaves := b.state(ending).Target
 	leaves.Draining = true
 	b.f.PutTarget(b.now, leaves)
 	b.now += 300 * time.Millisecond
-	b.ask(1, streams, ending, 101, 1000)
+	b.sendRequest(1, streams, ending, 101, 1000)
 	b.now += minRequestTimeout
 	b.f.Tick(b.now)
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
@@ -131,23 +130,23 @@
 	if v := b.f.Checked(b.now, Start{ID: ending}, Gone); len(v.Resets) != 0 {
 		t.Error("a flow was reset whose target still serves it")
 	}
-	b.want(b.ask(1, streams, ending, 401, 1000), Forwarded)
+	b.want(b.sendRequest(1, streams, ending, 401, 1000), Forwarded)
 	b.now += 200 * time.Millisecond
-	b.live(ending)
-	b.ask(1, streams, ending, 401, 1000)
+	b.showAllAlive(ending)
+	b.sendRequest(1, streams, ending, 401, 1000)
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
-		t.Fatal("the target is not checked after a repeat")
+		t.Fatal("the target is not checked after a retransmission")
 	}
 	v := b.f.Checked(b.now, Start{ID: ending}, Gone)
-	if len(v.Resets) != 2 || v.Resets[0].Caller.Port() != 1 || v.Resets[1].Caller.Port() != aliveFlow(ending) {
-		t.Errorf("reset after a repeat: %v, want the flow that repeats and the idle one", v.Resets)
+	if len(v.Resets) != 2 || v.Resets[0].Caller.Port() != 1 || v.Resets[1].Caller.Port() != alivePort(ending) {
+		t.Errorf("reset after a retransmission: %v, want the retransmitting flow and the idle one", v.Resets)
 	}
 }
 
-// Targets look dead for a moment, and with no flow left nothing would ever show
-// that they live. New flows must come back by themselves, and a service whose
-// targets are all suspected must serve on.
-func TestSuspicionEndsAndFailsOpen(t *testing.T) {
+// Targets are suspected by mistake, and no flow is left to show that they are alive. The
+// suspicion must expire by itself, and a service whose targets are all suspected must stay
+// available.
+func TestSuspicionExpiresAndFailsOpen(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
 	for id := TargetID(1); id <= 2; id++ {
 		b.state(id).avoidUntil = b.now + suspicionTime
@@ -161,19 +160,19 @@
 	}
 }
 
-// A peer behind a cut finds a target dead that this balancer reaches. Flows go
-// on; only new ones avoid the target until it is checked.
+// A peer behind a network cut suspects a target that this balancer reaches. Open flows
+// continue; only new ones avoid the target until it is checked.
 func TestPeersSuspicionResetsNobody(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	id := b.open(1, streams)
+	id := b.openFlow(1, streams)
 	b.now += time.Second
 	if !b.f.PeerSuspects(b.now, id) {
-		t.Error("the suspicion is no news")
+		t.Error("the suspicion is not new")
 	}
 	if b.state(id).eligible(b.now) {
 		t.Error("new flows still go there")
 	}
-	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
+	b.want(b.sendRequest(1, streams, id, 101, 1000), Forwarded)
 	if got := b.f.TargetsToCheck(b.now); len(got) != 1 {
 		t.Fatalf("%d targets to check, want 1", len(got))
 	}
@@ -183,15 +182,15 @@
 	}
 }
 
-// A target's health check hangs while its flows are served, and a packet of one
-// flow is lost. The target lives: none of its flows may be reset.
+// A target's health check hangs while its flows are served, and one packet of a flow is lost.
+// The target is alive, and none of its flows may be reset.
 func TestHangingHealthCheck(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	b.live(0)
-	id := b.open(1, streams)
-	b.ask(1, streams, id, 101, 1000)
+	b.showAllAlive(0)
+	id := b.openFlow(1, streams)
+	b.sendRequest(1, streams, id, 101, 1000)
 	b.now += 400 * time.Millisecond
-	b.ask(1, streams, id, 101, 1000) // the packet was lost
+	b.sendRequest(1, streams, id, 101, 1000) // the packet was lost
 	for ack := uint32(1000); ack < 1400; ack += 100 {
 		b.f.TargetsToCheck(b.now)
 		b.now += 30 * time.Millisecond
@@ -199,9 +198,9 @@
 		answered.Seq, answered.Ack = 401, ack+100
 		b.handle(answered)
 		b.now += 170 * time.Millisecond
-		b.live(id)
+		b.showAllAlive(id)
 		if v := b.f.Checked(b.now, Start{ID: id}, Silent); len(v.Resets) > 0 || v.Notify {
-			t.Fatalf("verdict %+v on a living target", v)
+			t.Fatalf("result %+v for a living target", v)
 		}
 	}
 	if !b.state(id).eligible(b.now) {
@@ -209,24 +208,24 @@
 	}
 }
 
-// Nothing is asked of a target whose health check hangs: that alone must not
-// make it dead.
-func TestSilentCheckAloneProvesNothing(t *testing.T) {
+// A target with a hanging health check and no requests in flight must not be marked dead
+// because of failed checks alone.
+func TestUnansweredCheckAloneIsNoEvidence(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	id := b.open(1, streams)
+	id := b.openFlow(1, streams)
 	for range 5 {
 		b.now += time.Second
-		b.live(id)
+		b.showAllAlive(id)
 		b.f.PeerSuspects(b.now, id)
 		b.f.TargetsToCheck(b.now)
 		b.f.Checked(b.now, Start{ID: id}, Silent)
 	}
-	b.want(b.ask(1, streams, id, 101, 1000), Forwarded)
+	b.want(b.sendRequest(1, streams, id, 101, 1000), Forwarded)
 }
 
-// Ten of 40 targets crash, and their machines answer openings with resets that
-// no balancer sees. The dead ones look idle, and a caller's three tries end there
-// within 30 ms. Openings that stay unanswered have to give them away.
+// Ten of 40 targets crash, and their machines answer openings with resets that no balancer
+// sees. The targets look idle, and a caller's three tries end there within 30 ms. Unanswered
+// openings have to reveal them.
 func TestCrashedTargetsDrawNoOpenings(t *testing.T) {
 	r := newReplay(3, []int{6, 6, 6}, []int{14, 13, 13})
 	for i, n := range []float64{14, 13, 13} {
@@ -234,7 +233,7 @@
 	}
 	r.run(2 * time.Second)
 	for i := range 10 {
-		r.targets[i*4].dead = true
+		r.targets[i*4].crashed = true
 	}
 	r.run(7 * time.Second)
 	t.Log(r)
@@ -243,14 +242,14 @@
 	}
 }
 
-// A target is forgotten while it is being checked. The number of checks under way
-// must not stay up: after a few of these no target would be checked any more.
+// A target is forgotten while it is being checked. The number of running checks must not
+// leak: at its maximum, no target would be checked any more.
 func TestForgottenTargetEndsItsCheck(t *testing.T) {
 	b := newFixture(t, manyTargets(2)...)
 	for id := TargetID(1000); id < 1000+2*maxChecks; id++ {
 		b.f.PutTarget(b.now, target1(id, "a"))
 		b.f.RemoveTarget(b.now, id)
-		b.ask(uint16(id), streams, id, 101, 1000) // a flow there is what it is checked for
+		b.sendRequest(uint16(id), streams, id, 101, 1000) // the flow that the target is checked for
 		if len(b.f.TargetsToCheck(b.now)) != 1 {
 			t.Fatalf("target %d is not checked", id)
 		}
@@ -260,8 +259,8 @@
 	}
 }
 
-// The longest wait in a queue decides; later ones must not be reported before.
-func TestWaitsComeInOrder(t *testing.T) {
+// The queue returns entries in order, and only those that are due.
+func TestWaitQueueOrder(t *testing.T) {
 	var q waitQueue
 	for i := range 100 {
 		q.push(&flow{}, time.Duration(i))
@@ -269,11 +268,11 @@
 	for i := range 50 {
 		w, ok := q.pop(49)
 		if !ok || w.since != time.Duration(i) {
-			t.Fatalf("wait %d: %v %v", i, w.since, ok)
+			t.Fatalf("entry %d: %v %v", i, w.since, ok)
 		}
 	}
 	if _, ok := q.pop(49); ok {
-		t.Error("a wait came too early")
+		t.Error("an entry was returned too early")
 	}
 	q.push(&flow{}, 100)
 	if w, ok := q.pop(50); !ok || w.since != 50 {
--- a/internal/direct/dark_test.go
+++ b/internal/direct/unreachable_test.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Callers keep flows open and send about one request a second on each, which must not
-// run twice: one that is sent on a flow of a dead target is lost, as its caller does not
-// try again. Three of 14 targets go dark. Their idle flows have to end before the next
-// requests are sent there.
-// Without the resets of idle flows twice as many are lost, and more if callers that wait
-// at other balancers prove nothing.
+// Callers keep flows open and send about one non-idempotent request a second on each. A
+// request sent on a flow of a dead target is lost, as its caller does not retry. Three of 14
+// targets become unreachable, and their idle flows have to be reset before the next requests.
+// Twice as many requests are lost without resets of idle flows, and more if reports of
+// waiting callers at peers are ignored.
 func TestIdleFlowsOfDarkTargets(t *testing.T) {
 	lost := map[MechanismSet]int{}
 	asked := 0
 	for _, without := range []MechanismSet{0, 1 << IdleResets, 1 << PeerDeaths} {
 		for seed := range uint64(20) {
-			r := darkDay(11+seed, without)
+			r := runWithUnreachable(11+seed, without)
 			lost[without] += r.failed
-			asked += r.asked
+			asked += r.requests
 		}
 		t.Logf("without %q: %d lost", without, lost[without])
 	}
@@ -33,65 +32,66 @@
 	}
 }
 
-// darkDay has three of 14 targets go dark under flows that stay open.
-func darkDay(seed uint64, without MechanismSet) *replay {
+// runWithUnreachable runs a deployment in which three of 14 targets become unreachable under
+// long-lived flows.
+func runWithUnreachable(seed uint64, without MechanismSet) *replay {
 	r := newReplayWithout(seed, []int{3, 2, 2}, []int{5, 5, 4}, without)
-	r.once = true
+	r.nonIdempotent = true
 	for i, n := range []float64{5, 5, 4} {
 		r.load(i, capacity(14)*0.4*n/14, 8*time.Second)
 	}
 	r.run(3 * time.Second)
 	for _, x := range []int{0, 1, 6} {
-		r.targets[x].dark = true
+		r.targets[x].unreachable = true
 	}
 	r.run(12 * time.Second)
 	return r
 }
 
-// A target goes dark while this balancer's flows there are idle. Its own checks prove
-// nothing as long as nobody waits, but a peer whose callers wait in vain tells that it
-// found the target dead: the idle flows end before a request is lost on them. A target
-// that answers this balancer's check stays, whatever the peer says.
-func TestPeerFoundTargetDead(t *testing.T) {
+// All flows of this balancer at an unreachable target are idle, so its own failed checks are
+// not sufficient evidence. A peer whose callers wait there reports the target as dead, and
+// the idle flows are reset before a request is lost on them. A target that answers this
+// balancer's check is kept despite the report.
+func TestPeerReportsDeadTarget(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		b := newFixture(t, manyTargets(5)...)
-		b.live(0)
-		id := b.open(1, notes)
+		b.showAllAlive(0)
+		id := b.openFlow(1, notes)
 		b.now += time.Second
-		b.live(id)
+		b.showAllAlive(id)
 		b.f.PeerSuspects(b.now, id)
 		if len(b.f.TargetsToCheck(b.now)) != 1 {
 			t.Fatal("the target is not checked")
 		}
 		b.now += 200 * time.Millisecond
-		b.live(id)
+		b.showAllAlive(id)
 		finding := Silent
 		if answers {
 			finding = Alive
 		}
 		if v := b.f.Checked(b.now, Start{ID: id}, finding); len(v.Resets) != 0 {
-			t.Errorf("%d flows were reset though nobody waits there", len(v.Resets))
+			t.Errorf("%d flows were reset though no caller waits there", len(v.Resets))
 		}
 		b.now += 100 * time.Millisecond
 		lost := b.f.PeerFoundDead(b.now, id)
-		if want := map[bool]int{false: 2, true: 0}[answers]; len(lost) != want { // with that of live
+		if want := map[bool]int{false: 2, true: 0}[answers]; len(lost) != want { // includes the flow of showAllAlive
 			t.Errorf("answers %v: %d flows are reset, want %d", answers, len(lost), want)
 		}
 		if again := b.f.PeerFoundDead(b.now+tick, id); len(again) != 0 || len(b.f.TargetsToCheck(b.now+tick)) != 0 {
-			t.Errorf("answers %v: the peer's word is acted on again", answers)
+			t.Errorf("answers %v: the peer's report has an effect twice", answers)
 		}
 	}
 }
 
-// A service takes 0.3 s for each request. Once that is known, no target may be checked
-// after 0.1 s already: each check takes a slot, and there would be one for each request.
-func TestPatienceFollowsTheRoute(t *testing.T) {
+// On a route whose requests are known to take 0.3 s, a target must not be checked after
+// 0.1 s: each check takes a slot, and every request would cause one.
+func TestRequestTimeoutFollowsTheRoute(t *testing.T) {
 	b := newFixture(t, manyTargets(1)...)
 	const work = 300 * time.Millisecond
-	id := b.open(1, streams)
+	id := b.openFlow(1, streams)
 	seq, ack := uint32(101), uint32(1000)
 	for range minSamples + 1 {
-		b.ask(1, streams, id, seq, ack)
+		b.sendRequest(1, streams, id, seq, ack)
 		seq += 300
 		b.now += work
 		ack += 2000
@@ -101,7 +101,7 @@
 	}
 	b.f.TargetsToCheck(b.now)
 	b.now += time.Second
-	b.ask(1, streams, id, seq, ack)
+	b.sendRequest(1, streams, id, seq, ack)
 	b.now += work
 	b.f.Tick(b.now)
 	if n := len(b.f.TargetsToCheck(b.now)); n != 0 {
@@ -117,14 +117,14 @@
 // tick is the time between two heartbeats of a peer.
 const tick = 100 * time.Millisecond
 
-// A target was found dead, starts again under its identifier, and a balancer that
-// knows opens a flow there. This balancer has not heard of it and gets the flow's next
-// packet: it must not reset the flow of a living target. Once a check that began after
-// the packet finds the target dead, the flow is certainly lost.
+// A dead target starts again under its identifier, and another balancer opens a flow there.
+// This balancer has not learnt of the new start and must not reset the flow when its next
+// packet arrives. Once a check that began after the packet finds the target dead, the flow is
+// reset.
 func TestFlowSeenAfterItsTargetDied(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
-	id := b.open(1, streams)
-	b.ask(1, streams, id, 101, 1000)
+	id := b.openFlow(1, streams)
+	b.sendRequest(1, streams, id, 101, 1000)
 	check := func(x Finding) {
 		t.Helper()
 		b.now += time.Millisecond
@@ -137,11 +137,11 @@
 	b.f.Tick(b.now)
 	check(Gone)
 	b.now += recheckPause
-	b.want(b.ask(2, streams, id, 101, 1000), Forwarded)
+	b.want(b.sendRequest(2, streams, id, 101, 1000), Forwarded)
 	check(Gone)
-	b.want(b.ask(2, streams, id, 101, 1000), ResetSilent)
+	b.want(b.sendRequest(2, streams, id, 101, 1000), ResetSilent)
 	b.now += recheckPause
-	b.want(b.ask(3, streams, id, 101, 1000), Forwarded)
+	b.want(b.sendRequest(3, streams, id, 101, 1000), Forwarded)
 	check(Alive)
-	b.want(b.ask(3, streams, id, 101, 1000), Forwarded)
+	b.want(b.sendRequest(3, streams, id, 101, 1000), Forwarded)
 }
