--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// way decides for one balancer and one target whether an opening may go there.
-type way func(now time.Duration) bool
+// mayOpen decides for one balancer and one target whether an opening may go there.
+type mayOpen func(now time.Duration) bool
 
-// ways are those that were weighed; each returns what the i-th of n balancers does.
-var ways = []struct {
+// strategies are the implementation, which comes first, and the alternatives it is compared
+// with. Each returns the decision function of the i-th of n balancers.
+var strategies = []struct {
 	name string
-	of   func(rng *rand.Rand, i, n int, target uint64, rate float64) way
+	of   func(rng *rand.Rand, i, n int, target uint64, rate float64) mayOpen
 }{
-	{"owned by few", func(_ *rand.Rand, i, n int, target uint64, rate float64) way {
+	{"owned by few", func(_ *rand.Rand, i, n int, target uint64, rate float64) mayOpen {
 		l := NewOwners(name(i), names(n)).Limit(target, rate)
 		return func(now time.Duration) bool {
 			if !l.Allows(now) {
@@ -27,14 +28,14 @@
 			return true
 		}
 	}},
-	// Each balancer has an even share of the rate, as moments of its own that lapse a
-	// quarter of a second later.
-	{"divided by all", func(rng *rand.Rand, _, n int, _ uint64, rate float64) way {
-		const lapse = time.Second / 4
-		step := time.Duration(float64(time.Second) * float64(n) / (used * rate))
+	// Each balancer has an even share of the rate, as fixed times that expire a quarter of a
+	// second later.
+	{"divided by all", func(rng *rand.Rand, _, n int, _ uint64, rate float64) mayOpen {
+		const expiry = time.Second / 4
+		step := time.Duration(float64(time.Second) * float64(n) / (usedShare * rate))
 		next := time.Duration(rng.Float64() * float64(step))
 		return func(now time.Duration) bool {
-			for next+lapse < now {
+			for next+expiry < now {
 				next += step
 			}
 			if now < next {
@@ -44,14 +45,14 @@
 			return true
 		}
 	}},
-	// Each opening goes there with a probability that would use the rate, by what this
-	// balancer has asked for in the last second.
-	{"lottery", func(rng *rand.Rand, _, n int, _ uint64, rate float64) way {
+	// Each opening is allowed with a probability that would use the rate, based on this
+	// balancer's openings in the last second.
+	{"lottery", func(rng *rand.Rand, _, n int, _ uint64, rate float64) mayOpen {
 		var asked []time.Duration
 		return func(now time.Duration) bool {
 			asked = append(asked, now)
 			asked = slices.DeleteFunc(asked, func(at time.Duration) bool { return now-at > time.Second })
-			return rng.Float64() < used*rate/float64(n*len(asked))
+			return rng.Float64() < usedShare*rate/float64(n*len(asked))
 		}
 	}},
 }
@@ -66,19 +67,19 @@
 	return out
 }
 
-// fleetRun has n balancers open flows at cold targets for four seconds. Some of them know
-// only a part of the others, as they have joined since or their copies are old.
+// fleetRun lets n balancers open flows at cold targets for four seconds. Some balancers know
+// only a part of the others, because those have joined since or the replicas are outdated.
 type fleetRun struct {
 	n, targets int
-	rate       float64 // that a target bears
-	late       int     // balancers that the others do not know of
-	lost       int     // that do not open anything
-	perSecond  float64 // openings of one balancer
+	rate       float64 // openings a second that a target can take
+	unknown    int     // balancers unknown to the others
+	idle       int     // balancers that open nothing
+	perSecond  float64 // openings per balancer
 }
 
-// play returns the most openings of a target in a second, and which part of the targets'
-// rate was used.
-func (r fleetRun) play(seed uint64, of func(*rand.Rand, int, int, uint64, float64) way) (most int, usedPart float64) {
+// simulate returns the maximum number of openings of a target in a second, and the share of
+// the targets' rate that was used.
+func (r fleetRun) simulate(seed uint64, of func(*rand.Rand, int, int, uint64, float64) mayOpen) (most int, usedPart float64) {
 	const length = 4 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type opening struct {
@@ -86,9 +87,9 @@
 		balancer int
 	}
 	var all []opening
-	may := make([][]way, r.n)
+	may := make([][]mayOpen, r.n)
 	for i := range r.n {
-		known := r.n - r.late
+		known := r.n - r.unknown
 		if i >= known {
 			known = r.n
 		}
@@ -103,12 +104,12 @@
 	got := make([][]time.Duration, r.targets)
 	count := 0
 	for _, x := range all {
-		if x.balancer < r.lost {
+		if x.balancer < r.idle {
 			continue
 		}
 		for _, t := range rng.Perm(r.targets) {
 			if may[x.balancer][t](x.at) {
-				// It arrives a little later, by other ways than the one before it.
+				// Openings arrive up to 5 ms later, not necessarily in order.
 				got[t] = append(got[t], x.at+time.Duration(rng.Float64()*float64(5*time.Millisecond)))
 				count++
 				break
@@ -116,13 +117,13 @@
 		}
 	}
 	for _, at := range got {
-		most = max(most, inOneSecond(at))
+		most = max(most, maxInOneSecond(at))
 	}
 	return most, float64(count) / (r.rate * length.Seconds() * float64(r.targets))
 }
 
-// inOneSecond returns the most arrivals in any span of a second.
-func inOneSecond(at []time.Duration) int {
+// maxInOneSecond returns the maximum number of arrivals in any span of a second.
+func maxInOneSecond(at []time.Duration) int {
 	slices.Sort(at)
 	most, from := 0, 0
 	for i := range at {
@@ -134,27 +135,28 @@
 	return most
 }
 
-// Targets start cold in a data centre of few or many balancers, some of which the others do
-// not know yet. All together may open at most 1.5 times a target's rate and five in any
-// second there; beyond it the target falls over with all it works on. The chosen way keeps
-// that, and uses the better part of the rate; the others are here to show why not they.
+// Targets start cold in data centres of various sizes, where some balancers are unknown to
+// the others. In any second, all balancers together may open at most 1.5 times a target's
+// rate plus five flows there; beyond that the target is overloaded and fails all its
+// requests. The implementation has to keep this limit and use most of the rate. The
+// alternatives are only logged for comparison.
 func TestColdTargetsAreNotOverrun(t *testing.T) {
 	const targets = 20
 	for _, n := range []int{3, 9, 29, 60, 200} {
 		for _, rate := range []float64{1, 8, 100} {
 			for _, c := range []struct{ late, lost int }{{0, 0}, {n / 5, 0}, {0, n / 3}} {
-				// Callers ask for twice what the targets bear.
-				r := fleetRun{n: n, targets: targets, rate: rate, late: c.late, lost: c.lost, perSecond: 2 * rate * targets / float64(n)}
+				// Callers open twice as many flows as the targets can take.
+				r := fleetRun{n: n, targets: targets, rate: rate, unknown: c.late, idle: c.lost, perSecond: 2 * rate * targets / float64(n)}
 				allowed := int(1.5*rate) + 5
-				for _, w := range ways {
+				for _, w := range strategies {
 					most, part := 0, math.Inf(1)
 					for seed := range uint64(2) {
-						m, u := r.play(seed, w.of)
+						m, u := r.simulate(seed, w.of)
 						most, part = max(most, m), min(part, u)
 					}
 					t.Logf("%3d balancers, %2d unknown, %3d lost, rate %3.0f: %-14s %3d of %3d in a second, %.2f of the rate used",
 						n, c.late, c.lost, rate, w.name, most, allowed, part)
-					if w.name != ways[0].name {
+					if w.name != strategies[0].name {
 						continue
 					}
 					if most > allowed {
@@ -169,15 +171,15 @@
 	}
 }
 
-// A balancer that does not know its fleet yet opens nothing at cold targets, and one that
-// is alone uses all that is given out.
-func TestOwnersAreFew(t *testing.T) {
+// A balancer that does not know its fleet yet opens nothing at cold targets. A balancer that
+// is alone uses all of the rate that is distributed.
+func TestOwnerCount(t *testing.T) {
 	var unknown Owners
 	if l := unknown.Limit(1, 8); l.Allows(time.Hour) {
-		t.Error("a balancer that knows nobody owns a target")
+		t.Error("a balancer that knows no others owns a target")
 	}
 	alone := NewOwners("a", nil)
-	if l := alone.Limit(1, 8); l.rate != used*8 {
+	if l := alone.Limit(1, 8); l.rate != usedShare*8 {
 		t.Errorf("alone: rate %v", l.rate)
 	}
 	for target := range uint64(100) {
@@ -189,15 +191,15 @@
 			}
 			sum += l.rate
 		}
-		if n != ownersOf(8) || math.Abs(sum-used*8) > 1e-9 {
+		if n != ownerCount(8) || math.Abs(sum-usedShare*8) > 1e-9 {
 			t.Errorf("target %d: %d owners with a rate of %v", target, n, sum)
 		}
 	}
 }
 
-// An operator writes an absurd rate. It must neither break a balancer nor, where it is
-// tiny, allow everything.
-func TestAbsurdRates(t *testing.T) {
+// Extreme rates in the catalogue must neither break a balancer nor, if tiny, allow
+// everything.
+func TestExtremeRates(t *testing.T) {
 	for _, rate := range []float64{1e-300, 1e300, math.MaxFloat64} {
 		l := NewOwners("a", names(3)).Limit(1, rate)
 		for range 3 {
