--- a/internal/direct/baseline.go
+++ b/internal/direct/baseline.go
@@ -41,6 +41,7 @@
 	pendingRequests waitQueue
 }
 
+// learn updates the medians of the response time and size from an answer.
 func (b *baseline) learn(took time.Duration, size uint32) {
 	if b.samples == 0 {
 		b.medianTime, b.medianSize, b.longTermTime = float64(took), float64(size), float64(took)
@@ -60,6 +61,7 @@
 	b.longTermTime = max(moveMedian(b.longTermTime, float64(took), longTermStep), float64(minLongTermTime))
 }
 
+// moveMedian moves a median by a relative step towards x.
 func moveMedian(median, x, by float64) float64 {
 	if x > median {
 		return median * (1 + by)
--- a/internal/direct/evacuation_test.go
+++ b/internal/direct/evacuation_test.go
@@ -21,7 +21,7 @@
 	if got[3] < 30 || got[4] < 30 {
 		t.Errorf("openings by target: %v, want them spread over 3 and 4", got)
 	}
-	if n := b.f.Count(OpenedAway); n != 100 {
+	if n := b.f.Count(OpenedEvacuated); n != 100 {
 		t.Errorf("%d openings counted as evacuated, want 100", n)
 	}
 	b.want(b.sendRequest(1000, streams, home, 101, 1000), Forwarded)
@@ -75,7 +75,7 @@
 	b.f.PutTarget(b.now, target1(3, "nowhere"))
 	b.want(b.handle(packet(2001, streams, SYN, 0)), ResetEvacuated)
 	b.f.TakeBack(b.now, "b")
-	b.want(b.handle(packet(2002, streams, SYN, 0)), OpenedAway)
+	b.want(b.handle(packet(2002, streams, SYN, 0)), OpenedEvacuated)
 	b.f.TakeBack(b.now, "a")
 	b.want(b.handle(packet(2003, streams, SYN, 0)), OpenedNear)
 	if got := b.f.Evacuations(b.now); len(got) != 1 || got[0].DataCenter != "nowhere" || got[0].Revision != 8 {
--- a/internal/direct/forwarder.go
+++ b/internal/direct/forwarder.go
@@ -160,13 +160,13 @@
 	}
 	c, reason := f.place(now, svc, tried)
 	if c.target == nil && old != nil && !old.target.evacuated() {
-		c, reason = choice{target: old.target}, OpenedElse
+		c, reason = choice{target: old.target}, OpenedElsewhere
 	}
 	if c.target == nil {
 		return resetOf(s, f.refusalReason(now, svc))
 	}
 	if old != nil {
-		reason = OpenedElse
+		reason = OpenedElsewhere
 	}
 	f.countColdOpening(now, svc, c.target)
 	f.addFlow(now, s, c.target, tried)
--- a/internal/direct/forwarder_test.go
+++ b/internal/direct/forwarder_test.go
@@ -41,7 +41,7 @@
 	copied := packet(1, streams, SYN, 0)
 	copied.Ack = 1
 	second := b.handle(copied)
-	b.want(second, OpenedElse)
+	b.want(second, OpenedElsewhere)
 	if second.Target.ID == first {
 		t.Error("the retransmitted opening went to the same target")
 	}
--- a/internal/direct/observe.go
+++ b/internal/direct/observe.go
@@ -158,6 +158,7 @@
 	}
 }
 
+// retention returns how long a flow is kept without packets.
 func (f *Forwarder) retention(fl *flow) time.Duration {
 	switch {
 	case fl.ended:
--- a/internal/direct/outlier.go
+++ b/internal/direct/outlier.go
@@ -103,6 +103,7 @@
 	Peers   Outcome // outcomes reported by peers
 }
 
+// noteOutlierChange records a change of the target's failing state, with hysteresis.
 func (f *Forwarder) noteOutlierChange(t *target, share float64) {
 	failing := t.extraLoad > failingLoad || t.failing && t.extraLoad > failingLoad/2
 	if failing == t.failing || len(f.outcomes.changes) == maxOutlierChanges {
--- a/internal/direct/overdue.go
+++ b/internal/direct/overdue.go
@@ -10,7 +10,7 @@
 	// openingTimeFactor is the multiple of the measured time from an opening to the caller's
 	// next packet, which includes the distance to the caller.
 	openingTimeFactor = 3
-	// initialOpeningTime is assumed for that time until it is measured.
+	// initialOpeningTime is the initial value of the measured time.
 	initialOpeningTime = 10 * time.Millisecond
 	// openingTimeWeight smooths the measurement over about 16 openings.
 	openingTimeWeight = 1.0 / 16
--- a/internal/direct/place.go
+++ b/internal/direct/place.go
@@ -111,7 +111,7 @@
 func (q *search) chooseAway() (choice, Reason) {
 	reason := OpenedFar
 	if q.service.near.centre.evacuation != nil {
-		reason = OpenedAway
+		reason = OpenedEvacuated
 	}
 	if g := q.service.drawAway(q.now, q.f.rng.Float64()); g != nil {
 		if c := q.leastLoaded(g); c.target != nil {
--- a/internal/direct/reason.go
+++ b/internal/direct/reason.go
@@ -5,20 +5,20 @@
 
 // The reasons: first those to forward, then those to reset, then those to drop.
 const (
-	OpenedNear     Reason = iota // opening to a target in this data centre
-	OpenedFar                    // opening to another data centre, which has more room
-	OpenedAway                   // opening to another data centre, as this one is evacuated
-	OpenedElse                   // retransmitted opening to another target than before
-	Forwarded                    // by the packet's cookie
-	ForwardedKnown               // by the flow table, which names another target than the cookie
-	ResetNoRoute                 // the catalogue has no route with this address
-	ResetNoTarget                // no target can take the opening
-	ResetGone                    // the flow's target has left
-	ResetSilent                  // the flow's target was found dead
-	ResetUnknown                 // the cookie names no target
-	ResetRestarted               // the flow's target has restarted
-	ResetEvacuated               // only targets in evacuated data centres could take the opening
-	ResetCold                    // only cold targets at their limit could take the opening
+	OpenedNear      Reason = iota // opening to a target in this data centre
+	OpenedFar                     // opening to another data centre, which has more room
+	OpenedEvacuated               // opening to another data centre, as this one is evacuated
+	OpenedElsewhere               // retransmitted opening to another target than before
+	Forwarded                     // by the packet's cookie
+	ForwardedKnown                // by the flow table, which names another target than the cookie
+	ResetNoRoute                  // the catalogue has no route with this address
+	ResetNoTarget                 // no target can take the opening
+	ResetGone                     // the flow's target has left
+	ResetSilent                   // the flow's target was found dead
+	ResetUnknown                  // the cookie names no target
+	ResetRestarted                // the flow's target has restarted
+	ResetEvacuated                // only targets in evacuated data centres could take the opening
+	ResetCold                     // only cold targets at their limit could take the opening
 	DroppedMalformed
 	DroppedReset // a caller's reset; its flow has no target here
 	DroppedWait  // the flow's target is unknown, but may become known
