--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -113,7 +113,7 @@
 	t.Revision = c.replica.Position().At(i.Revision)
 	c.edge.mu.Lock()
 	lost := c.edge.forward.PutTarget(now, t)
-	inCatalogue := c.edge.forward.Named(t.Service)
+	inCatalogue := c.edge.forward.HasService(t.Service)
 	c.edge.mu.Unlock()
 	c.resetFlows(now, lost, direct.ResetRestarted, id)
 	if c.version > 0 && !inCatalogue {
--- a/internal/edge/checks.go
+++ b/internal/edge/checks.go
@@ -20,7 +20,7 @@
 
 func (c *control) checkSuspects(ctx context.Context, now time.Duration) {
 	c.edge.mu.Lock()
-	suspects := c.edge.forward.Suspects(now)
+	suspects := c.edge.forward.TargetsToCheck(now)
 	c.edge.mu.Unlock()
 	for _, t := range suspects {
 		c.check(ctx, t)
@@ -41,7 +41,7 @@
 	now := c.now()
 	c.edge.mu.Lock()
 	v := c.edge.forward.Checked(now, t.Start(), x)
-	due := c.edge.forward.Due()
+	due := c.edge.forward.ChecksDue()
 	c.edge.mu.Unlock()
 	if due {
 		c.checkSoon()
@@ -52,7 +52,7 @@
 	if x != direct.Alive {
 		c.edge.counts.checksFailed.Add(1)
 	}
-	if v.News {
+	if v.Notify {
 		c.alarmDue = true
 		c.sendAlarmIfDue(now)
 	}
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -176,16 +176,16 @@
 	c.updateFleet()
 	e := c.edge
 	e.mu.Lock()
-	e.forward.SetProven(c.settling.Proven(now, now-age))
+	e.forward.SetListCompleteAt(c.settling.Proven(now, now-age))
 	if c.fleet.Small() {
-		e.forward.SetHomes(1)
+		e.forward.SetFlowSpread(1)
 		e.forward.SetPeerLoads(c.peerLoads(now))
 	} else {
-		e.forward.SetHomes(len(c.fleet.Near()) + 1)
+		e.forward.SetFlowSpread(len(c.fleet.Near()) + 1)
 	}
 	e.forward.SetPeerOutcomes(c.peerOutcomes(now), len(c.fleet.Near())+1)
 	e.forward.Tick(now)
-	outlierChanges := e.forward.GradeNews()
+	outlierChanges := e.forward.OutlierChanges()
 	e.mu.Unlock()
 	c.logOutliers(outlierChanges)
 	c.checkSuspects(ctx, now)
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -28,7 +28,7 @@
 }
 
 // logOutliers logs each target that has started or stopped failing requests.
-func (c *control) logOutliers(changes []direct.GradeNews) {
+func (c *control) logOutliers(changes []direct.OutlierChange) {
 	for _, g := range changes {
 		outcome := "target answers well again"
 		if g.Failing {
@@ -66,5 +66,5 @@
 func (e *Edge) healthCheck(service string) (path string, timeout time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.forward.HealthPath(service), e.forward.CheckPatience(service)
+	return e.forward.HealthPath(service), e.forward.CheckTimeout(service)
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -103,7 +103,7 @@
 				lost = c.edge.forward.PeerFoundDead(now, id)
 			}
 		}
-		due := c.edge.forward.Due()
+		due := c.edge.forward.ChecksDue()
 		c.edge.mu.Unlock()
 		if due {
 			c.checkSoon()
@@ -170,7 +170,7 @@
 			if !c.edge.forward.SameStart(id, n.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(o.Outcome().Faded(now - n.lastHeard))
+			out[id] = out[id].Plus(o.Outcome().Decayed(now - n.lastHeard))
 		}
 	}
 	return out
