--- a/internal/standin/target/connection.go
+++ b/internal/standin/target/connection.go
@@ -6,13 +6,14 @@
 	"net/netip"
 )
 
-// connection names a caller's connection to one of a service's addresses. A
-// caller may use the same port for several addresses.
+// connection identifies a caller's connection to one of a service's addresses.
+// The address is part of the key because a caller may use one port for several
+// addresses.
 type connection struct {
 	caller, address netip.AddrPort
 }
 
-// connectionOf returns the connection that a request came on.
+// connectionOf returns the connection on which a request arrived.
 func connectionOf(r *http.Request) connection {
 	c := connection{}
 	c.caller, _ = netip.ParseAddrPort(r.RemoteAddr)
--- a/internal/standin/target/endpoint.go
+++ b/internal/standin/target/endpoint.go
@@ -1,7 +1,7 @@
-// Package target is the stand-in for the services' targets: each endpoint has
-// its own TCP stack behind a decapsulating socket, takes as many connections
-// and requests as its limits say, counts what it runs, and misbehaves on
-// demand.
+// Package target is the stand-in for the services' targets. Each endpoint has
+// its own TCP stack behind a decapsulating socket, accepts connections and
+// requests up to its limits, counts the requests that it executes, and injects
+// faults on request.
 package target
 
 import (
@@ -24,41 +24,41 @@
 	"rosedale.dev/rosedale/internal/standin/netstack"
 )
 
-// Endpoint is one target of one service.
+// Endpoint is the stand-in for one target of one service.
 type Endpoint struct {
-	Service *catalogue.Service
-	Target  catalogue.Target
-	fabric  *net.UDPAddr
-	sock    *net.UDPConn
-	net     *netstack.Net
-	rec     *Records
-	classes map[netip.AddrPort]catalogue.Class
-	conns   map[netip.AddrPort]*listener
+	Service   *catalogue.Service
+	Target    catalogue.Target
+	fabric    *net.UDPAddr
+	sock      *net.UDPConn
+	net       *netstack.Net
+	rec       *Records
+	classes   map[netip.AddrPort]catalogue.Class
+	listeners map[netip.AddrPort]*listener
 
-	mu    sync.Mutex
-	set   Behaviour
-	lost  map[connection]bool // forgotten connections
-	begun handshakes
-	stats Stats
+	mu       sync.Mutex
+	injected Behaviour
+	silenced map[connection]bool // connections whose packets are dropped in both directions
+	pending  handshakes
+	stats    Stats
 }
 
-// Behaviour is what an experiment can set at an endpoint.
+// Behaviour holds the faults that an experiment can inject at an endpoint.
 type Behaviour struct {
 	Shed    bool          `json:"shed"`    // reset every opening
 	Paused  bool          `json:"paused"`  // drop every packet
 	Slow    time.Duration `json:"slow"`    // added to the work of each request
-	Lie     bool          `json:"lie"`     // report healthy and idle whatever happens
+	Lie     bool          `json:"lie"`     // report healthy and idle regardless of the real state
 	Sick    bool          `json:"sick"`    // report unhealthy
-	CutFrom []string      `json:"cutFrom"` // outer sources whose packets are lost, as prefixes
+	CutFrom []string      `json:"cutFrom"` // prefixes of outer source addresses whose packets are dropped
 }
 
-// Stats counts an endpoint's work.
+// Stats holds an endpoint's counters.
 type Stats struct {
 	Service     string `json:"service"`
 	Target      string `json:"target"`
 	DataCenter  string `json:"dataCenter"`
-	Streams     int    `json:"streams"` // open now
-	Slots       int    `json:"slots"`   // in use now
+	Streams     int    `json:"streams"` // open at present
+	Slots       int    `json:"slots"`   // in use at present
 	MaxSlots    int    `json:"maxSlots"`
 	Opened      int    `json:"opened"`
 	Shed        int    `json:"shed"`
@@ -73,10 +73,10 @@
 	}
 	e := &Endpoint{
 		Service: s, Target: t, fabric: fabric, sock: sock, rec: rec,
-		classes: map[netip.AddrPort]catalogue.Class{},
-		conns:   map[netip.AddrPort]*listener{},
-		lost:    map[connection]bool{},
-		begun:   handshakes{},
+		classes:   map[netip.AddrPort]catalogue.Class{},
+		listeners: map[netip.AddrPort]*listener{},
+		silenced:  map[connection]bool{},
+		pending:   handshakes{},
 	}
 	e.stats = Stats{Service: s.Name, Target: t.Address.String(), DataCenter: t.DataCenter}
 	var addrs []netip.Addr
@@ -88,15 +88,15 @@
 			addrs = append(addrs, a.Address.Addr())
 		}
 	}
-	if e.net, err = netstack.New(ctx, addrs, e.send); err != nil {
+	if e.net, err = netstack.New(ctx, addrs, e.sendInner); err != nil {
 		return nil, err
 	}
 	const maxInFlight = 1024
 	f := tcp.NewForwarder(e.net.Stack, 0, maxInFlight, e.accept)
 	e.net.Stack.SetTransportProtocolHandler(tcp.ProtocolNumber, f.HandlePacket)
 	for a, c := range e.classes {
-		l := &listener{addr: a, ch: make(chan net.Conn, maxInFlight)}
-		e.conns[a] = l
+		l := &listener{addr: a, accepted: make(chan net.Conn, maxInFlight)}
+		e.listeners[a] = l
 		srv := &http.Server{Handler: e.handler(c)}
 		go func() { _ = srv.Serve(l) }()
 	}
@@ -104,14 +104,14 @@
 	return e, nil
 }
 
-// accept decides on an opening packet as a listener with a full backlog or a
-// load-shedding policy would.
+// accept accepts or resets an opening packet. It resets it when the endpoint is
+// at its limit or set to shed load, as a listener with a full backlog would.
 func (e *Endpoint) accept(r *tcp.ForwarderRequest) {
 	id := r.ID()
 	local, _ := netip.AddrFromSlice(id.LocalAddress.AsSlice())
-	at := netip.AddrPortFrom(local, id.LocalPort)
-	class, ok := e.classes[at]
-	if !ok || !e.take(class) {
+	address := netip.AddrPortFrom(local, id.LocalPort)
+	class, ok := e.classes[address]
+	if !ok || !e.admit(class) {
 		r.Complete(true)
 		return
 	}
@@ -119,22 +119,23 @@
 	ep, terr := r.CreateEndpoint(&wq)
 	if terr != nil {
 		r.Complete(true)
-		e.give(class)
+		e.release(class)
 		return
 	}
 	r.Complete(false)
-	c := &countedConn{TCPConn: gonet.NewTCPConn(&wq, ep), done: func() { e.give(class) }}
-	e.conns[at].ch <- c
+	c := &countedConn{TCPConn: gonet.NewTCPConn(&wq, ep), onClose: func() { e.release(class) }}
+	e.listeners[address].accepted <- c
 }
 
-func (e *Endpoint) take(c catalogue.Class) bool {
+// admit reserves a slot or connection and reports whether one was free.
+func (e *Endpoint) admit(c catalogue.Class) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	full := e.stats.Slots >= e.Service.Limits.Slots
 	if !c.UsesSlots() {
 		full = e.stats.Streams >= e.Service.Limits.Connections
 	}
-	if full || e.set.Shed {
+	if full || e.injected.Shed {
 		e.stats.Shed++
 		return false
 	}
@@ -148,7 +149,8 @@
 	return true
 }
 
-func (e *Endpoint) give(c catalogue.Class) {
+// release frees what admit reserved.
+func (e *Endpoint) release(c catalogue.Class) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.UsesSlots() {
@@ -161,7 +163,7 @@
 func (e *Endpoint) behaviour() Behaviour {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.set
+	return e.injected
 }
 
 func (e *Endpoint) receive() {
@@ -179,79 +181,82 @@
 			continue
 		}
 		seg, err := packet.Parse(d.Inner)
-		if err != nil || e.drops(from.Addr().Unmap(), d.VNI, &seg) || e.resets(&seg) {
+		if err != nil || e.shouldDrop(from.Addr().Unmap(), d.VNI, &seg) || e.resetUnexpected(&seg) {
 			continue
 		}
 		e.net.Inject(d.Inner)
 	}
 }
 
-func (e *Endpoint) drops(from netip.Addr, number uint32, seg *packet.Segment) bool {
+// shouldDrop reports whether a received packet is dropped, because it carries
+// another service's number or an injected fault applies to it.
+func (e *Endpoint) shouldDrop(from netip.Addr, number uint32, seg *packet.Segment) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if number != e.Service.Number {
 		e.stats.WrongNumber++
 		return true
 	}
-	for _, p := range e.set.CutFrom {
+	for _, p := range e.injected.CutFrom {
 		if pre, err := netip.ParsePrefix(p); err == nil && pre.Contains(from) {
 			return true
 		}
 	}
-	return e.set.Paused || e.lost[connection{caller: seg.Src, address: seg.Dst}]
+	return e.injected.Paused || e.silenced[connection{caller: seg.Src, address: seg.Dst}]
 }
 
-// resets answers a packet with a reset if it belongs to another target's
-// connection.
-func (e *Endpoint) resets(seg *packet.Segment) bool {
+// resetUnexpected answers a packet with a reset and returns true if it
+// acknowledges a sequence number that the endpoint did not send.
+func (e *Endpoint) resetUnexpected(seg *packet.Segment) bool {
 	e.mu.Lock()
-	strange := e.begun.strange(seg)
+	unexpectedAck := e.pending.unexpectedAck(seg)
 	e.mu.Unlock()
-	if strange {
-		e.logReset("strange acknowledgement", seg.Src, seg.Ack, 0)
+	if unexpectedAck {
+		e.logReset("unexpected acknowledgement", seg.Src, seg.Ack, 0)
 		e.transmit(packet.ResetTo(seg))
 	}
-	return strange
+	return unexpectedAck
 }
 
-// logReset tells on standard output of a reset that the target sends to a caller.
-func (e *Endpoint) logReset(why string, caller netip.AddrPort, seq, ack uint32) {
-	fmt.Printf("%s target %s resets %s: %s, seq %d ack %d\n", time.Now().Format(time.StampMicro), e.Target.Address, caller, why, seq, ack)
+// logReset reports on standard output a reset that the target sends to a caller.
+func (e *Endpoint) logReset(reason string, caller netip.AddrPort, seq, ack uint32) {
+	fmt.Printf("%s target %s resets %s: %s, seq %d ack %d\n", time.Now().Format(time.StampMicro), e.Target.Address, caller, reason, seq, ack)
 }
 
-// send takes a packet of the TCP stack.
-func (e *Endpoint) send(b []byte) {
+// sendInner sends a packet that the TCP stack produced, unless a fault drops it.
+func (e *Endpoint) sendInner(b []byte) {
 	seg, err := packet.Parse(b)
 	if err != nil {
 		return
 	}
 	e.mu.Lock()
-	e.begun.sent(&seg)
+	e.pending.recordSent(&seg)
 	if seg.IsReset() {
-		e.logReset("by its stack", seg.Dst, seg.Seq, seg.Ack)
+		e.logReset("sent by the TCP stack", seg.Dst, seg.Seq, seg.Ack)
 	}
-	drop := e.set.Paused || e.lost[connection{caller: seg.Dst, address: seg.Src}]
+	drop := e.injected.Paused || e.silenced[connection{caller: seg.Dst, address: seg.Src}]
 	e.mu.Unlock()
 	if !drop {
 		e.transmit(b)
 	}
 }
 
+// transmit encapsulates a packet and sends it to the fabric.
 func (e *Endpoint) transmit(b []byte) {
 	_, _ = e.sock.WriteToUDP(geneve.Append(nil, e.Service.Number, nil, b), e.fabric)
 }
 
-// lose makes n open streams go silent: nothing about them passes any more. It
-// loses none and returns false if fewer are open.
-func (e *Endpoint) lose(n int) bool {
-	open := e.rec.open(e)
-	if len(open) < n {
+// silenceStreams drops all further packets of n open streams in both directions.
+// If fewer than n are open, it silences none and returns false.
+func (e *Endpoint) silenceStreams(n int) bool {
+	openStreams := e.rec.openStreams(e)
+	if len(openStreams) < n {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, c := range open[:n] {
-		e.lost[c] = true
+	for _, c := range openStreams[:n] {
+		e.silenced[c] = true
 	}
 	return true
 }
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -9,7 +9,7 @@
 	"rosedale.dev/rosedale/internal/catalogue"
 )
 
-// maxFrameGap bounds what a caller may ask for.
+// maxFrameGap is the longest time between frames that a caller may request.
 const maxFrameGap = 10 * time.Second
 
 func (e *Endpoint) handler(c catalogue.Class) http.Handler {
@@ -19,8 +19,8 @@
 	return http.HandlerFunc(e.request)
 }
 
-// stream sends numbered frames until the caller leaves. The caller's own
-// nonce comes back in each, so that a crossed answer shows.
+// stream sends numbered frames until the caller disconnects. Each frame carries
+// the caller's nonce, by which the caller detects frames of another stream.
 func (e *Endpoint) stream(w http.ResponseWriter, r *http.Request) {
 	nonce := r.URL.Query().Get("nonce")
 	gap, err := time.ParseDuration(r.URL.Query().Get("gap"))
@@ -29,10 +29,10 @@
 		return
 	}
 	c := connectionOf(r)
-	e.rec.opened(e, c)
-	defer e.rec.closed(e, c)
+	e.rec.streamOpened(e, c)
+	defer e.rec.streamClosed(e, c)
 	rc := http.NewResponseController(w)
-	_ = rc.EnableFullDuplex() // callers may talk while they listen
+	_ = rc.EnableFullDuplex() // callers may send while they receive
 	t := time.NewTicker(gap)
 	defer t.Stop()
 	for seq := 0; ; seq++ {
@@ -50,7 +50,8 @@
 	}
 }
 
-// request runs one note or hold.
+// request executes one request: it records the run, sleeps for the given work
+// in milliseconds and answers with the request's identifier.
 func (e *Endpoint) request(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	work, err := strconv.Atoi(q.Get("work"))
@@ -58,7 +59,7 @@
 		http.Error(w, "work", http.StatusBadRequest)
 		return
 	}
-	e.rec.execute(e, q.Get("id"), connectionOf(r))
+	e.rec.recordRun(e, q.Get("id"), connectionOf(r))
 	time.Sleep(time.Duration(work)*time.Millisecond + e.behaviour().Slow)
 	w.Header().Set("Connection", "close")
 	_, _ = fmt.Fprintf(w, "%s %s %s", e.Service.Name, e.Target.Address, q.Get("id"))
--- a/internal/standin/target/handshakes.go
+++ b/internal/standin/target/handshakes.go
@@ -2,17 +2,19 @@
 
 import "rosedale.dev/rosedale/internal/packet"
 
-// handshakes are the connections that wait for the caller's acknowledgement, by
-// the number that it has to carry. It is for one goroutine at a time.
+// handshakes holds the connections that wait for the caller's acknowledgement,
+// with the acknowledgement number that it must carry. It is not safe for
+// concurrent use.
 //
-// Failure: the userspace TCP stack takes any acknowledgement for the end of a
-// handshake that it did not start from a listening socket. It shows as a request
-// that runs at two targets: the second one had got a copy of the opening, and takes
-// the request meant for the first. RFC 9293, section 3.10.7.4, has it reset.
+// Without this check, the userspace TCP stack would accept any acknowledgement as
+// the end of a handshake that did not start from a listening socket. A target that
+// received a copy of an opening would then execute the request that its caller
+// sent to another target, and the request would run twice. RFC 9293, section
+// 3.10.7.4, requires a reset.
 type handshakes map[connection]uint32
 
-// sent notes a packet that the target sends.
-func (h handshakes) sent(s *packet.Segment) {
+// recordSent updates the handshakes from a packet that the target sends.
+func (h handshakes) recordSent(s *packet.Segment) {
 	c := connection{caller: s.Dst, address: s.Src}
 	switch {
 	case s.IsAccept():
@@ -22,12 +24,12 @@
 	}
 }
 
-// strange reports whether a packet that the target gets acknowledges something
-// that it never sent.
-func (h handshakes) strange(s *packet.Segment) bool {
+// unexpectedAck reports whether a received packet acknowledges a sequence number
+// that the target did not send. A correct acknowledgement ends the handshake.
+func (h handshakes) unexpectedAck(s *packet.Segment) bool {
 	c := connection{caller: s.Src, address: s.Dst}
-	want, waits := h[c]
-	if !waits || !s.HasAck() || s.IsReset() {
+	want, pending := h[c]
+	if !pending || !s.HasAck() || s.IsReset() {
 		return false
 	}
 	if s.Ack != want {
--- a/internal/standin/target/handshakes_test.go
+++ b/internal/standin/target/handshakes_test.go
@@ -14,9 +14,10 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// A copy of an opening reaches a target, and then the request that its caller sent
-// to the target whose answer it took. A real target resets that; this one must not
-// run the request either, or a fault of the balancers is seen where there is none.
+// Guards against executing a request meant for another target. A target receives a
+// copy of an opening, and then the request that the caller sent to the target whose
+// answer it accepted. A real target resets the connection; if the stand-in ran the
+// request, tests would report a balancer fault that does not exist.
 func TestRequestOfAnotherTargetIsReset(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -69,7 +70,7 @@
 	for range 2 {
 		send(101, accept.Seq+777, header.TCPFlagAck|header.TCPFlagPsh, request)
 		if got := receive(); !got.IsReset() || got.Seq != accept.Seq+777 {
-			t.Errorf("answer to a strange acknowledgement: %+v, want a reset", got)
+			t.Errorf("answer to an unexpected acknowledgement: %+v, want a reset", got)
 		}
 	}
 	if n := len(rec.snapshot()["r1"]); n != 0 {
--- a/internal/standin/target/listener.go
+++ b/internal/standin/target/listener.go
@@ -10,24 +10,24 @@
 
 // listener hands accepted connections to an http.Server.
 type listener struct {
-	addr netip.AddrPort
-	ch   chan net.Conn
+	addr     netip.AddrPort
+	accepted chan net.Conn
 }
 
-func (l *listener) Accept() (net.Conn, error) { return <-l.ch, nil }
+func (l *listener) Accept() (net.Conn, error) { return <-l.accepted, nil }
 func (l *listener) Close() error              { return nil }
 func (l *listener) Addr() net.Addr            { return net.TCPAddrFromAddrPort(l.addr) }
 
-// countedConn gives its slot or connection back when it is closed.
+// countedConn releases its slot or connection when it is closed.
 type countedConn struct {
 	*gonet.TCPConn
-	once sync.Once
-	done func()
+	once    sync.Once
+	onClose func()
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
 	err := c.TCPConn.Close()
-	c.once.Do(c.done)
+	c.once.Do(c.onClose)
 	return err
 }
--- a/internal/standin/target/main.go
+++ b/internal/standin/target/main.go
@@ -21,8 +21,8 @@
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("target", flag.ContinueOnError)
 	dir := fs.String("catalogue", "", "folder of catalogue entries")
-	dcs := fs.String("data-centers", "", "data centres to run, all when empty")
-	fabric := fs.String("fabric", "127.0.9.1:6083", "where the fabric takes answers")
+	dcs := fs.String("data-centers", "", "comma-separated data centres to run, all if empty")
+	fabric := fs.String("fabric", "127.0.9.1:6083", "address at which the fabric receives targets' packets")
 	control := fs.String("control", "127.0.9.2:8080", "address of the control endpoint")
 	if err := fs.Parse(args); err != nil {
 		return err
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// ReadDir parses every entry of a folder.
+// ReadDir parses every catalogue entry (*.toml) of a folder. It returns an error
+// if the folder has none.
 func ReadDir(dir string) ([]*catalogue.Service, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(files) == 0 {
@@ -125,14 +126,14 @@
 			return
 		}
 		e.mu.Lock()
-		e.set = b
+		e.injected = b
 		e.mu.Unlock()
 	})
 	mux.HandleFunc("POST /lose/{target}/{n}", func(w http.ResponseWriter, r *http.Request) {
 		if e := find(w, r); e != nil {
 			n, err := strconv.Atoi(r.PathValue("n"))
-			if err != nil || !e.lose(n) {
-				http.Error(w, "that many streams are not open", http.StatusConflict)
+			if err != nil || !e.silenceStreams(n) {
+				http.Error(w, "fewer streams are open than requested", http.StatusConflict)
 			}
 		}
 	})
@@ -142,10 +143,10 @@
 func (e *Endpoint) health() Health {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.set.Lie {
+	if e.injected.Lie {
 		return Health{Healthy: true}
 	}
 	slots := float64(e.stats.Slots) / float64(e.Service.Limits.Slots)
 	conns := float64(e.stats.Streams) / float64(e.Service.Limits.Connections)
-	return Health{Healthy: !e.set.Sick && !e.set.Paused, Load: max(slots, conns)}
+	return Health{Healthy: !e.injected.Sick && !e.injected.Paused, Load: max(slots, conns)}
 }
--- a/internal/standin/target/records.go
+++ b/internal/standin/target/records.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Records keeps what the endpoints of a process ran, by request identifier.
+// Records holds the requests that the endpoints of a process executed, by request
+// identifier, and the open streams of each endpoint.
 type Records struct {
-	mu    sync.Mutex
-	runs  map[string][]string // where and when each was run
-	calls map[*Endpoint]map[connection]bool
+	mu      sync.Mutex
+	runs    map[string][]string // target, caller and time of each run
+	streams map[*Endpoint]map[connection]bool
 }
 
 func newRecords() *Records {
-	return &Records{runs: map[string][]string{}, calls: map[*Endpoint]map[connection]bool{}}
+	return &Records{runs: map[string][]string{}, streams: map[*Endpoint]map[connection]bool{}}
 }
 
-func (r *Records) execute(e *Endpoint, id string, c connection) {
+func (r *Records) recordRun(e *Endpoint, id string, c connection) {
 	r.mu.Lock()
 	r.runs[id] = append(r.runs[id], fmt.Sprintf("%s for %s at %s", e.Target.Address, c.caller, time.Now().Format(time.StampMicro)))
 	r.mu.Unlock()
@@ -27,27 +28,27 @@
 	e.mu.Unlock()
 }
 
-func (r *Records) opened(e *Endpoint, c connection) {
+func (r *Records) streamOpened(e *Endpoint, c connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.calls[e] == nil {
-		r.calls[e] = map[connection]bool{}
+	if r.streams[e] == nil {
+		r.streams[e] = map[connection]bool{}
 	}
-	r.calls[e][c] = true
+	r.streams[e][c] = true
 }
 
-func (r *Records) closed(e *Endpoint, c connection) {
+func (r *Records) streamClosed(e *Endpoint, c connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.calls[e], c)
+	delete(r.streams[e], c)
 }
 
-// open returns an endpoint's open streams.
-func (r *Records) open(e *Endpoint) []connection {
+// openStreams returns an endpoint's open streams.
+func (r *Records) openStreams(e *Endpoint) []connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]connection, 0, len(r.calls[e]))
-	for c := range r.calls[e] {
+	out := make([]connection, 0, len(r.streams[e]))
+	for c := range r.streams[e] {
 		out = append(out, c)
 	}
 	return out
