--- a/internal/standin/caller/main.go
+++ b/internal/standin/caller/main.go
@@ -18,7 +18,7 @@
 	"rosedale.dev/rosedale/internal/standin/netstack"
 )
 
-// callerCount is the number of inner addresses that callers use.
+// callerCount is the number of inner addresses of one process.
 const callerCount = 50
 
 type options struct {
@@ -34,9 +34,9 @@
 	chatter  bool
 }
 
-// Main runs the load and writes its Result as JSON.
+// Main runs the load that the flags describe and writes its Result as JSON.
 func Main(ctx context.Context, args []string) error {
-	o, err := parse(args)
+	o, err := parseOptions(args)
 	if err != nil {
 		return err
 	}
@@ -47,27 +47,27 @@
 	run, cancel := context.WithTimeout(ctx, o.duration)
 	defer cancel()
 	l.run(run)
-	runs, err := executions(o.targets)
+	runs, err := fetchExecutions(o.targets)
 	if err != nil {
 		return err
 	}
-	return write(o.out, l.rec.finish(runs))
+	return writeResult(o.out, l.rec.finish(runs))
 }
 
-func parse(args []string) (options, error) {
+func parseOptions(args []string) (options, error) {
 	var o options
 	var streams, requests string
 	fs := flag.NewFlagSet("caller", flag.ContinueOnError)
-	fs.StringVar(&o.fabric, "fabric", "127.0.9.1:6082", "where the fabric takes callers' packets")
-	fs.StringVar(&o.bind, "bind", "127.0.9.10:6081", "own outer address")
+	fs.StringVar(&o.fabric, "fabric", "127.0.9.1:6082", "address at which the fabric receives callers' packets")
+	fs.StringVar(&o.bind, "bind", "127.0.9.10:6081", "own outer UDP address")
 	fs.StringVar(&streams, "streams", "", "comma-separated SERVICE=ADDRESS=COUNT")
-	fs.StringVar(&requests, "requests", "", "comma-separated SERVICE=ADDRESS=RATE=WORK_MS")
+	fs.StringVar(&requests, "requests", "", "comma-separated SERVICE=ADDRESS=RATE=WORK_MS, rate in requests per second")
 	fs.DurationVar(&o.duration, "duration", 10*time.Second, "length of the run")
 	fs.DurationVar(&o.gap, "gap", 200*time.Millisecond, "time between a stream's frames")
-	fs.StringVar(&o.out, "out", "-", "file for the result")
+	fs.StringVar(&o.out, "out", "-", "file for the result, - for standard output")
 	fs.StringVar(&o.targets, "targets", "", "comma-separated control addresses of the targets")
-	fs.IntVar(&o.block, "block", 0, "block of inner addresses, one for each process")
-	fs.BoolVar(&o.chatter, "chatter", false, "callers send something on their streams every second")
+	fs.IntVar(&o.block, "block", 0, "index of the block of inner addresses, different for each process")
+	fs.BoolVar(&o.chatter, "chatter", false, "callers send a line on each of their streams every second")
 	if err := fs.Parse(args); err != nil {
 		return o, err
 	}
@@ -79,7 +79,7 @@
 	return o, err
 }
 
-// load is one run.
+// load is the state of one run.
 type load struct {
 	opt   options
 	rec   *recorder
@@ -87,6 +87,7 @@
 	addrs []netip.Addr
 }
 
+// connect opens the socket to the fabric and the TCP stack on top of it.
 func (l *load) connect(ctx context.Context) error {
 	ua, err := net.ResolveUDPAddr("udp", l.opt.bind)
 	if err != nil {
@@ -132,6 +133,7 @@
 	}
 }
 
+// run generates the load until ctx ends and waits for the requests in flight.
 func (l *load) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range l.opt.streams {
@@ -139,7 +141,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l.stream(ctx, s, i)
+				l.runStream(ctx, s, i)
 			}()
 		}
 	}
@@ -147,20 +149,22 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			l.requests(ctx, s)
+			l.sendRequests(ctx, s)
 		}()
 	}
 	wg.Wait()
 }
 
-// executionsTimeout bounds asking a target what it ran: it answers from memory.
+// executionsTimeout bounds a query for a target's executions, which it answers
+// from memory.
 const executionsTimeout = 5 * time.Second
 
-// executions asks the targets what they ran.
+// fetchExecutions returns the runs of each request at the targets, by request
+// identifier. targets are the comma-separated addresses of their control endpoints.
 //
-// Failure: a target's process stands still. It shows as a run that never ends, and
-// whose result is lost with it.
-func executions(targets string) (map[string][]string, error) {
+// Without the timeout, a target process that hangs would keep the run from ending,
+// and the result would be lost.
+func fetchExecutions(targets string) (map[string][]string, error) {
 	all := map[string][]string{}
 	client := &http.Client{Timeout: executionsTimeout}
 	for _, t := range strings.Split(targets, ",") {
@@ -184,7 +188,7 @@
 	return all, nil
 }
 
-func write(path string, res Result) error {
+func writeResult(path string, res Result) error {
 	b, err := json.MarshalIndent(res, "", "  ")
 	if err != nil {
 		return err
--- a/internal/standin/caller/main_test.go
+++ b/internal/standin/caller/main_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A target's process stands still when a run ends, and takes the connection but never
-// answers. The run must end all the same, with an error.
+// Guards against a run that never ends: a hung target process accepts the connection
+// for the query of executions but does not answer. The run must end with an error.
 func TestSilentTargetDoesNotHoldTheRunUp(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -16,15 +16,15 @@
 	defer func() { _ = ln.Close() }()
 	done := make(chan error, 1)
 	go func() {
-		_, err := executions(ln.Addr().String())
+		_, err := fetchExecutions(ln.Addr().String())
 		done <- err
 	}()
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Error("no error")
+			t.Error("no error from a target that does not answer")
 		}
 	case <-time.After(2 * executionsTimeout):
-		t.Error("still waits")
+		t.Error("the query did not time out")
 	}
 }
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -13,16 +13,17 @@
 	"time"
 )
 
+// requestTimeout bounds opening a request's connection, and again the exchange on it.
 const requestTimeout = 10 * time.Second
 
-// requests sends requests at random intervals of a mean rate until ctx ends
-// and waits for those under way.
-func (l *load) requests(ctx context.Context, s spec) {
+// sendRequests sends requests with exponentially distributed intervals at the
+// spec's mean rate until ctx ends, and waits for the requests in flight.
+func (l *load) sendRequests(ctx context.Context, s spec) {
 	rnd := rand.New(rand.NewPCG(uint64(l.opt.block), uint64(s.addr.Port())))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; ; n++ {
-		wait(ctx, time.Duration(rnd.ExpFloat64()/s.rate*float64(time.Second)))
+		sleep(ctx, time.Duration(rnd.ExpFloat64()/s.rate*float64(time.Second)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -31,18 +32,19 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			l.rec.do(func(r *Result) { r.Requests++ })
+			l.rec.update(func(r *Result) { r.Requests++ })
 			began := time.Now()
-			o, err := l.request(s, id, work, n)
+			o, err := l.sendRequest(s, id, work, n)
 			if err != nil {
-				l.rec.do(func(r *Result) { r.Errors["request: "+cause(err)]++ })
+				l.rec.update(func(r *Result) { r.Errors["request: "+rootCause(err)]++ })
 			}
-			l.rec.request(id, o, time.Since(began))
+			l.rec.recordOutcome(id, o, time.Since(began))
 		}()
 	}
 }
 
-func (l *load) request(s spec, id string, work, n int) (outcome, error) {
+// sendRequest opens a connection, sends one request and returns its outcome.
+func (l *load) sendRequest(s spec, id string, work, n int) (outcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	began := time.Now()
@@ -53,17 +55,17 @@
 		}
 		return timedOut, err
 	}
-	l.rec.opening(time.Since(began))
+	l.rec.recordOpening(time.Since(began))
 	defer func() { _ = c.Close() }()
 	opened := time.Now()
 	if err := l.exchange(c, s, id, work); err != nil {
-		l.rec.cut(Cut{Caller: c.LocalAddr().String(), What: id, Opened: opened, At: time.Now(), Cause: cause(err)})
+		l.rec.recordCut(Cut{Caller: c.LocalAddr().String(), What: id, Opened: opened, At: time.Now(), Cause: rootCause(err)})
 		return broken, err
 	}
 	return answered, nil
 }
 
-// exchange sends a request on its connection and checks the answer.
+// exchange sends a request on c and checks the answer.
 func (l *load) exchange(c net.Conn, s spec, id string, work int) error {
 	_ = c.SetDeadline(time.Now().Add(requestTimeout))
 	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/note?id=%s&work=%d", s.addr, id, work), nil)
@@ -87,12 +89,14 @@
 	return nil
 }
 
+// checkAnswer counts an answer of another service or to another request. Its
+// fields are service, target and request identifier.
 func (l *load) checkAnswer(f []string, s spec, id string) {
 	if len(f) != 3 || f[0] != s.service {
-		l.rec.do(func(r *Result) { r.WrongService++ })
+		l.rec.update(func(r *Result) { r.WrongService++ })
 		return
 	}
 	if f[2] != id {
-		l.rec.do(func(r *Result) { r.Crossed++ })
+		l.rec.update(func(r *Result) { r.Crossed++ })
 	}
 }
--- a/internal/standin/caller/result.go
+++ b/internal/standin/caller/result.go
@@ -1,6 +1,5 @@
-// Package caller is the stand-in for archivists, guests and agents: real HTTP
-// clients over a userspace TCP stack that hold streams open and send notes,
-// and that record what each of them saw.
+// Package caller is the stand-in for callers. HTTP clients over a userspace TCP
+// stack keep streams open and send requests, and record the outcome of each.
 package caller
 
 import (
@@ -11,40 +10,41 @@
 	"time"
 )
 
-// Result is what the callers of one run saw. Latencies are in milliseconds.
+// Result holds the outcomes of one run's streams and requests. Latencies are in
+// milliseconds.
 type Result struct {
 	StreamsOpened int `json:"streamsOpened"`
-	StreamsFailed int `json:"streamsFailed"` // never opened
+	StreamsFailed int `json:"streamsFailed"` // whose connection did not open
 	StreamsBroken int `json:"streamsBroken"`
-	StreamsReset  int `json:"streamsReset"` // of the broken: by a reset
+	StreamsReset  int `json:"streamsReset"` // of StreamsBroken, those that a reset ended
 	Frames        int `json:"frames"`
 	WrongService  int `json:"wrongService"`
-	Crossed       int `json:"crossed"` // another caller's answer
+	Crossed       int `json:"crossed"` // answers or frames that belong to another request or stream
 	Requests      int `json:"requests"`
 	Answered      int `json:"answered"`
 	Refused       int `json:"refused"`
 	Broken        int `json:"broken"` // reset or cut after the connection opened
 	TimedOut      int `json:"timedOut"`
-	RunTwice      int `json:"runTwice"`
-	// Twice tells where the first of them were run.
+	RunTwice      int `json:"runTwice"` // executed more than once
+	// Twice lists where the first of them were executed, at most maxTwice.
 	Twice         []string       `json:"twice,omitempty"`
 	RefusedButRun int            `json:"refusedButRun"`
-	LostAnswers   int            `json:"answeredNotRun"`
+	LostAnswers   int            `json:"answeredNotRun"` // answered though no target reports a run
 	P50           float64        `json:"p50"`
 	P99           float64        `json:"p99"`
 	OpenP50       float64        `json:"openP50"`
 	OpenP99       float64        `json:"openP99"`
-	RefusedP50    float64        `json:"refusedP50"` // until the refusal
+	RefusedP50    float64        `json:"refusedP50"` // time until the refusal
 	RefusedP99    float64        `json:"refusedP99"`
 	Errors        map[string]int `json:"errors,omitempty"`
-	// Cut are the ends of the first flows that broke.
+	// Cut lists the first flows that broke, at most maxCut.
 	Cut []Cut `json:"cut,omitempty"`
 }
 
-// Cut is a flow that broke at its caller.
+// Cut describes a flow that broke after it opened, as its caller saw it.
 type Cut struct {
-	Caller string    `json:"caller"` // address and port
-	What   string    `json:"what"`   // the request or stream
+	Caller string    `json:"caller"` // its address and port
+	What   string    `json:"what"`   // identifier of the request or nonce of the stream
 	Opened time.Time `json:"opened"`
 	At     time.Time `json:"at"`
 	Cause  string    `json:"cause"`
@@ -52,26 +52,26 @@
 
 // recorder collects a Result from many goroutines.
 type recorder struct {
-	mu       sync.Mutex
-	res      Result
-	outcome  map[string]outcome
-	latency  []time.Duration
-	openings []time.Duration
-	refusals []time.Duration
+	mu        sync.Mutex
+	res       Result
+	outcomes  map[string]outcome
+	latencies []time.Duration
+	openings  []time.Duration
+	refusals  []time.Duration
 }
 
-// maxCut bounds what is told of flows that broke.
+// maxCut bounds Result.Cut.
 const maxCut = 20
 
-func (r *recorder) cut(c Cut) {
-	r.do(func(res *Result) {
+func (r *recorder) recordCut(c Cut) {
+	r.update(func(res *Result) {
 		if len(res.Cut) < maxCut {
 			res.Cut = append(res.Cut, c)
 		}
 	})
 }
 
-// maxTwice bounds what is told of requests that were run twice.
+// maxTwice bounds Result.Twice.
 const maxTwice = 5
 
 type outcome int
@@ -84,23 +84,24 @@
 )
 
 func newRecorder() *recorder {
-	return &recorder{outcome: map[string]outcome{}, res: Result{Errors: map[string]int{}}}
+	return &recorder{outcomes: map[string]outcome{}, res: Result{Errors: map[string]int{}}}
 }
 
-func (r *recorder) do(f func(*Result)) {
+// update calls f with the Result while it holds the lock.
+func (r *recorder) update(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.res)
 }
 
-func (r *recorder) request(id string, o outcome, took time.Duration) {
+func (r *recorder) recordOutcome(id string, o outcome, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcome[id] = o
+	r.outcomes[id] = o
 	switch o {
 	case answered:
 		r.res.Answered++
-		r.latency = append(r.latency, took)
+		r.latencies = append(r.latencies, took)
 	case refused:
 		r.res.Refused++
 		r.refusals = append(r.refusals, took)
@@ -111,17 +112,18 @@
 	}
 }
 
-func (r *recorder) opening(took time.Duration) {
+func (r *recorder) recordOpening(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.openings = append(r.openings, took)
 }
 
-// finish compares the callers' outcomes with what targets say they ran.
+// finish compares the callers' outcomes with the runs that targets report, by
+// request identifier, and returns the completed Result.
 func (r *recorder) finish(runs map[string][]string) Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, o := range r.outcome {
+	for id, o := range r.outcomes {
 		n := len(runs[id])
 		switch {
 		case n > 1:
@@ -135,12 +137,13 @@
 			r.res.LostAnswers++
 		}
 	}
-	r.res.P50, r.res.P99 = percentiles(r.latency)
+	r.res.P50, r.res.P99 = percentiles(r.latencies)
 	r.res.OpenP50, r.res.OpenP99 = percentiles(r.openings)
 	r.res.RefusedP50, r.res.RefusedP99 = percentiles(r.refusals)
 	return r.res
 }
 
+// percentiles sorts d and returns its 50th and 99th percentile in milliseconds.
 func percentiles(d []time.Duration) (p50, p99 float64) {
 	if len(d) == 0 {
 		return 0, 0
--- a/internal/standin/caller/spec.go
+++ b/internal/standin/caller/spec.go
@@ -8,15 +8,18 @@
 	"github.com/pkg/errors"
 )
 
-// spec is one load: streams of a count, or requests of a rate and work.
+// spec describes the load on one service address: a number of streams, or requests
+// with a rate and a duration.
 type spec struct {
 	service string
 	addr    netip.AddrPort
-	count   int     // streams
-	rate    float64 // requests a second
-	work    int     // mean milliseconds that a request takes at its target
+	count   int     // number of streams
+	rate    float64 // requests per second
+	work    int     // mean duration of a request at its target, in milliseconds
 }
 
+// parseSpecs parses a comma-separated list of specs: SERVICE=ADDRESS=COUNT if
+// fields is 3, SERVICE=ADDRESS=RATE=WORK_MS if it is 4.
 func parseSpecs(s string, fields int) ([]spec, error) {
 	var out []spec
 	for _, part := range strings.Split(s, ",") {
@@ -38,7 +41,7 @@
 			sp.work, err = strconv.Atoi(f[3])
 		}
 		if err != nil {
-			return nil, errors.Wrapf(err, "caller: load %q", part)
+			return nil, errors.Wrapf(err, "caller: invalid load %q", part)
 		}
 		out = append(out, sp)
 	}
--- a/internal/standin/caller/stream.go
+++ b/internal/standin/caller/stream.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// openSpread is the time over which a run's streams open.
+	// openSpread is the time over which the opening of a run's streams is spread.
 	openSpread = 2 * time.Second
-	// frameTimeout is how long a caller waits for a frame before it gives up.
+	// frameTimeout is how long a caller waits for the next frame of a stream.
 	frameTimeout = 20 * time.Second
 	dialTimeout  = 10 * time.Second
 )
 
-// stream keeps one stream open until ctx ends and checks every frame.
-func (l *load) stream(ctx context.Context, s spec, i int) {
-	wait(ctx, openSpread*time.Duration(i)/time.Duration(s.count))
+// runStream opens one stream, keeps it open until ctx ends and checks every frame.
+// A stream that breaks is recorded and not opened again.
+func (l *load) runStream(ctx context.Context, s spec, i int) {
+	sleep(ctx, openSpread*time.Duration(i)/time.Duration(s.count))
 	began := time.Now()
 	nonce := fmt.Sprintf("s%d-%s-%d", l.opt.block, s.service, i)
 	dctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -31,27 +32,28 @@
 	cancel()
 	if err != nil {
 		if ctx.Err() == nil {
-			l.rec.do(func(r *Result) { r.StreamsFailed++; r.Errors["dial stream: "+err.Error()]++ })
+			l.rec.update(func(r *Result) { r.StreamsFailed++; r.Errors["dial stream: "+err.Error()]++ })
 		}
 		return
 	}
 	defer func() { _ = c.Close() }()
-	l.rec.opening(time.Since(began))
-	l.rec.do(func(r *Result) { r.StreamsOpened++ })
+	l.rec.recordOpening(time.Since(began))
+	l.rec.update(func(r *Result) { r.StreamsOpened++ })
 	opened := time.Now()
-	if err := l.frames(ctx, c, s, nonce); err != nil && ctx.Err() == nil {
-		l.rec.cut(Cut{Caller: c.LocalAddr().String(), What: nonce, Opened: opened, At: time.Now(), Cause: cause(err)})
-		l.rec.do(func(r *Result) {
+	if err := l.receiveFrames(ctx, c, s, nonce); err != nil && ctx.Err() == nil {
+		l.rec.recordCut(Cut{Caller: c.LocalAddr().String(), What: nonce, Opened: opened, At: time.Now(), Cause: rootCause(err)})
+		l.rec.update(func(r *Result) {
 			r.StreamsBroken++
 			if strings.Contains(err.Error(), "reset") {
 				r.StreamsReset++
 			}
-			r.Errors["stream: "+cause(err)]++
+			r.Errors["stream: "+rootCause(err)]++
 		})
 	}
 }
 
-func cause(err error) string {
+// rootCause returns the innermost part of an error's text, by which errors are counted.
+func rootCause(err error) string {
 	s := errors.Cause(err).Error()
 	if i := strings.LastIndex(s, ": "); i >= 0 {
 		s = s[i+2:]
@@ -59,14 +61,16 @@
 	return s
 }
 
-func (l *load) frames(ctx context.Context, c net.Conn, s spec, nonce string) error {
+// receiveFrames requests a stream on c and checks its frames. It returns nil when ctx
+// ends, and an error when the stream breaks.
+func (l *load) receiveFrames(ctx context.Context, c net.Conn, s spec, nonce string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now()) })
 	defer stop()
-	req, err := l.ask(ctx, c, fmt.Sprintf("http://%s/stream?nonce=%s&gap=%s", s.addr, nonce, l.opt.gap))
+	req, err := l.sendStreamRequest(ctx, c, fmt.Sprintf("http://%s/stream?nonce=%s&gap=%s", s.addr, nonce, l.opt.gap))
 	if err != nil {
 		return err
 	}
-	if !patient(ctx, c) {
+	if !setFrameDeadline(ctx, c) {
 		return nil
 	}
 	br := bufio.NewReader(c)
@@ -79,14 +83,14 @@
 	first := ""
 	for seq := 0; lines.Scan(); seq++ {
 		f := strings.Fields(lines.Text())
-		l.rec.do(func(r *Result) { r.Frames++ })
+		l.rec.update(func(r *Result) { r.Frames++ })
 		if first == "" && len(f) == 4 {
 			first = f[1]
 		}
-		if err := l.check(f, s, nonce, first, seq); err != nil {
+		if err := l.checkFrame(f, s, nonce, first, seq); err != nil {
 			return err
 		}
-		if !patient(ctx, c) {
+		if !setFrameDeadline(ctx, c) {
 			return nil
 		}
 	}
@@ -96,18 +100,20 @@
 	return errors.New("stream ended")
 }
 
-// patient has the next read wait for a frame, and reports whether the run goes on.
+// setFrameDeadline sets the deadline for the next frame and reports whether the run
+// continues.
 //
-// Failure: the run ends, which lets reads fail at once, just before a read's own deadline
-// is set. It shows as a caller that waits for a silent stream for 20 s more. So the run is
-// looked at after the deadline was set.
-func patient(ctx context.Context, c net.Conn) bool {
+// ctx is checked after the deadline is set: the end of the run sets a deadline in the
+// past, which this one may overwrite. Without the check, a caller would then wait up to
+// frameTimeout (20 s) longer for a silent stream.
+func setFrameDeadline(ctx context.Context, c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(frameTimeout))
 	return ctx.Err() == nil
 }
 
-// ask sends the request for a stream. With chatter its body never ends.
-func (l *load) ask(ctx context.Context, c net.Conn, url string) (*http.Request, error) {
+// sendStreamRequest sends the request for a stream. With the chatter option, the
+// request's body stays open until ctx ends and carries a line every second.
+func (l *load) sendStreamRequest(ctx context.Context, c net.Conn, url string) (*http.Request, error) {
 	if !l.opt.chatter {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
@@ -126,22 +132,23 @@
 			if _, err := w.Write([]byte("still watching\n")); err != nil {
 				return
 			}
-			wait(ctx, time.Second)
+			sleep(ctx, time.Second)
 		}
 		_ = w.Close()
 	}()
 	return req, nil
 }
 
-func (l *load) check(f []string, s spec, nonce, target string, seq int) error {
+// checkFrame checks the fields of a frame: service, target, nonce and sequence number.
+func (l *load) checkFrame(f []string, s spec, nonce, target string, seq int) error {
 	switch {
 	case len(f) != 4:
 		return errors.New("malformed frame")
 	case f[0] != s.service:
-		l.rec.do(func(r *Result) { r.WrongService++ })
+		l.rec.update(func(r *Result) { r.WrongService++ })
 		return errors.New("wrong service")
 	case f[2] != nonce:
-		l.rec.do(func(r *Result) { r.Crossed++ })
+		l.rec.update(func(r *Result) { r.Crossed++ })
 		return errors.New("another caller's frame")
 	case f[1] != target || f[3] != fmt.Sprint(seq):
 		return errors.New("frame out of order")
@@ -149,7 +156,8 @@
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
