--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -11,13 +11,14 @@
 // Errors of a caller's flow.
 var (
 	ErrReset   = errors.New("flow was reset")
-	ErrTimeout = errors.New("no answer in time")
+	ErrTimeout = errors.New("no answer before the timeout")
 )
 
-// Caller is a stand-in caller with many flows.
+// Caller is a stand-in caller. It opens flows from one address, each from a port of
+// its own.
 type Caller struct {
-	// Late says how much later a further copy of an opening arrives, and through which
-	// balancer, if one does; nil for none.
+	// Late decides whether a further copy of an opening is sent (ok), how long after it
+	// and through which balancer. If it is nil, none is sent.
 	Late func() (after time.Duration, via netip.AddrPort, ok bool)
 
 	addr netip.Addr
@@ -28,26 +29,27 @@
 	flows map[uint16]*Flow
 }
 
-// Flow is a caller's flow.
+// Flow is a caller's connection to a service address.
 type Flow struct {
 	c    *Caller
 	port uint16
 	to   netip.AddrPort
-	// Via is the balancer that the fabric hands the flow's packets to.
-	Via  netip.AddrPort
-	seq  uint32
-	ack  uint32
-	echo uint32
-	peer uint32 // the target's initial number
-	in   chan packetIn
+	// Via is the balancer to which the fabric sends the flow's packets.
+	Via       netip.AddrPort
+	seq       uint32 // of the next data to send
+	ack       uint32 // next sequence number expected from the target
+	echo      uint32 // cookie from the last packet received, repeated in each packet sent
+	targetISN uint32 // the target's initial sequence number
+	received  chan receivedPacket
 }
 
-type packetIn struct {
-	h    head
+type receivedPacket struct {
+	h    header
 	body string
 }
 
-// NewCaller listens at addr, at the port at which callers are reached.
+// NewCaller returns a caller that listens at addr on port, to which balancers and
+// targets send packets for callers.
 func NewCaller(addr netip.Addr, port uint16) (*Caller, error) {
 	u, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, port)))
 	if err != nil {
@@ -58,7 +60,7 @@
 	return c, nil
 }
 
-// Close ends the caller.
+// Close closes the caller's socket.
 func (c *Caller) Close() { _ = c.udp.Close() }
 
 func (c *Caller) read() {
@@ -68,7 +70,7 @@
 		if err != nil {
 			return
 		}
-		h, body, ok := parse(buf[:n])
+		h, body, ok := parsePacket(buf[:n])
 		if !ok {
 			continue
 		}
@@ -79,25 +81,26 @@
 			continue
 		}
 		select {
-		case fl.in <- packetIn{h, string(body)}:
-		default: // the flow's user has gone
+		case fl.received <- receivedPacket{h, string(body)}:
+		default: // nobody reads this flow any more
 		}
 	}
 }
 
-// Open opens a flow to a service address through a balancer, with the copies of
-// an opening that the protocol has.
+// Open opens a flow to a service address through a balancer. It sends the opening up
+// to three times, as the protocol does, and returns ErrTimeout if none is answered or
+// ErrReset if the flow is refused.
 func (c *Caller) Open(to, via netip.AddrPort) (*Flow, error) {
 	c.mu.Lock()
 	c.port++
-	fl := &Flow{c: c, port: c.port, to: to, Via: via, seq: 100, in: make(chan packetIn, 32)}
+	fl := &Flow{c: c, port: c.port, to: to, Via: via, seq: 100, received: make(chan receivedPacket, 32)}
 	c.flows[c.port] = fl
 	c.mu.Unlock()
 	for i, wait := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond} {
-		opening := head{seq: fl.seq, ack: uint32(i), syn: true}
+		opening := header{seq: fl.seq, ack: uint32(i), syn: true}
 		fl.send(opening, nil)
-		fl.repeatLate(opening)
-		in, err := fl.next(wait)
+		fl.sendLateCopy(opening)
+		received, err := fl.receive(wait)
 		if errors.Is(err, ErrTimeout) {
 			continue
 		}
@@ -105,17 +108,18 @@
 			return nil, err
 		}
 		fl.seq++
-		fl.peer = in.h.seq
-		fl.ack = in.h.seq + 1
-		fl.echo = in.h.echo
-		fl.send(head{seq: fl.seq, ack: fl.ack, ackOn: true}, nil)
+		fl.targetISN = received.h.seq
+		fl.ack = received.h.seq + 1
+		fl.echo = received.h.echo
+		fl.send(header{seq: fl.seq, ack: fl.ack, hasAck: true}, nil)
 		return fl, nil
 	}
 	return nil, ErrTimeout
 }
 
-// repeatLate has a further copy of an opening arrive later, if the caller says so.
-func (fl *Flow) repeatLate(opening head) {
+// sendLateCopy sends a further copy of an opening later, if the caller's Late asks for
+// one.
+func (fl *Flow) sendLateCopy(opening header) {
 	if fl.c.Late == nil {
 		return
 	}
@@ -124,43 +128,44 @@
 	}
 }
 
-// Ask sends a request and returns its answer, repeating what is lost.
+// Ask sends a request and returns its answer. It retransmits the request with
+// increasing intervals until the timeout, and then returns ErrTimeout.
 func (fl *Flow) Ask(body string, timeout time.Duration) (string, error) {
 	return fl.AskAnywhere(body, timeout, func() netip.AddrPort { return fl.Via })
 }
 
-// Local returns the caller's end of the flow.
+// Local returns the flow's address and port at the caller.
 func (fl *Flow) Local() netip.AddrPort { return netip.AddrPortFrom(fl.c.addr, fl.port) }
 
-// Peer returns the target's initial number on the flow.
-func (fl *Flow) Peer() uint32 { return fl.peer }
+// Peer returns the target's initial sequence number on the flow.
+func (fl *Flow) Peer() uint32 { return fl.targetISN }
 
-// Cookie returns what the flow's target and its balancers know it by.
+// Cookie returns the flow's cookie, by which its target and the balancers identify it.
 func (fl *Flow) Cookie() uint32 { return fl.echo }
 
-// AskAnywhere is Ask with a fabric that may choose another balancer for each
-// repeat.
+// AskAnywhere is like Ask, but via chooses a balancer for each retransmission, as the
+// fabric may.
 func (fl *Flow) AskAnywhere(body string, timeout time.Duration, via func() netip.AddrPort) (string, error) {
 	end := time.Now().Add(timeout)
 	for wait := 200 * time.Millisecond; ; wait *= 2 {
 		fl.Via = via()
-		fl.send(head{seq: fl.seq, ack: fl.ack, ackOn: true}, []byte(body))
+		fl.send(header{seq: fl.seq, ack: fl.ack, hasAck: true}, []byte(body))
 		for {
-			in, err := fl.next(min(wait, time.Until(end)))
+			received, err := fl.receive(min(wait, time.Until(end)))
 			if errors.Is(err, ErrTimeout) {
 				break
 			}
 			if err != nil {
 				return "", err
 			}
-			if in.body == "" || in.h.seq != fl.ack {
+			if received.body == "" || received.h.seq != fl.ack {
 				continue
 			}
 			fl.seq += uint32(len(body))
-			fl.ack += uint32(len(in.body))
-			fl.echo = in.h.echo
-			fl.send(head{seq: fl.seq, ack: fl.ack, ackOn: true}, nil)
-			return in.body, nil
+			fl.ack += uint32(len(received.body))
+			fl.echo = received.h.echo
+			fl.send(header{seq: fl.seq, ack: fl.ack, hasAck: true}, nil)
+			return received.body, nil
 		}
 		if time.Now().After(end) {
 			return "", ErrTimeout
@@ -168,36 +173,36 @@
 	}
 }
 
-// IsReset reports whether the flow is reset within a time in which nothing is asked
-// on it. Nothing else may be under way.
+// IsReset reports whether the flow is reset within the given time. No request may be
+// in flight on it.
 func (fl *Flow) IsReset(within time.Duration) bool {
-	_, err := fl.next(within)
+	_, err := fl.receive(within)
 	return errors.Is(err, ErrReset)
 }
 
-// Close closes the flow.
+// Close sends a FIN and forgets the flow.
 func (fl *Flow) Close() {
-	fl.send(head{seq: fl.seq, ack: fl.ack, ackOn: true, fin: true}, nil)
+	fl.send(header{seq: fl.seq, ack: fl.ack, hasAck: true, fin: true}, nil)
 	fl.c.mu.Lock()
 	defer fl.c.mu.Unlock()
 	delete(fl.c.flows, fl.port)
 }
 
-func (fl *Flow) next(wait time.Duration) (packetIn, error) {
+func (fl *Flow) receive(wait time.Duration) (receivedPacket, error) {
 	select {
-	case in := <-fl.in:
-		if in.h.rst {
-			return in, ErrReset
+	case received := <-fl.received:
+		if received.h.rst {
+			return received, ErrReset
 		}
-		return in, nil
+		return received, nil
 	case <-time.After(wait):
-		return packetIn{}, ErrTimeout
+		return receivedPacket{}, ErrTimeout
 	}
 }
 
-func (fl *Flow) send(h head, body []byte) { fl.sendVia(fl.Via, fl.echo, h, body) }
+func (fl *Flow) send(h header, body []byte) { fl.sendVia(fl.Via, fl.echo, h, body) }
 
-func (fl *Flow) sendVia(via netip.AddrPort, echo uint32, h head, body []byte) {
+func (fl *Flow) sendVia(via netip.AddrPort, echo uint32, h header, body []byte) {
 	h.src, h.dst, h.echo = fl.Local(), fl.to, echo
-	_, _ = fl.c.udp.WriteToUDPAddrPort(h.encode(body), via) // lost packets are part of the protocol
+	_, _ = fl.c.udp.WriteToUDPAddrPort(h.encode(body), via) // packet loss is part of the protocol
 }
--- a/internal/standin/direct/catalogue.go
+++ b/internal/standin/direct/catalogue.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// Route is a route of the catalogue that an operator writes.
+// Route is a route of the catalogue.
 type Route struct {
 	Address netip.AddrPort
 	Service string
-	Once    bool // its requests must not run twice
+	Once    bool // its requests must run at most once
 }
 
-// PutCatalogue writes a version of the catalogue, as the operator does.
+// PutCatalogue writes a version of the catalogue to the store, as an operator does.
 func (s *Store) PutCatalogue(version int, routes ...Route) {
-	var list, services []map[string]any
-	var named []string
+	var routeEntries, services []map[string]any
+	var names []string
 	for _, r := range routes {
 		kind := "safe"
 		if r.Once {
 			kind = "unsafe"
 		}
-		list = append(list, map[string]any{"name": r.Address.String(), "host": r.Address.Addr(), "prefix": fmt.Sprintf("/%d/", r.Address.Port()),
+		routeEntries = append(routeEntries, map[string]any{"name": r.Address.String(), "host": r.Address.Addr(), "prefix": fmt.Sprintf("/%d/", r.Address.Port()),
 			"type": kind, "timeoutMs": 2500, "goalMs": 150, "priority": 1, "service": r.Service})
-		if !slices.Contains(named, r.Service) {
-			named = append(named, r.Service)
+		if !slices.Contains(names, r.Service) {
+			names = append(names, r.Service)
 			services = append(services, map[string]any{"name": r.Service, "healthPath": "/health"})
 		}
 	}
-	s.Put("op/config", map[string]any{"version": version, "routes": list, "services": services, "limits": map[string]any{"idleTimeoutMs": 12000}})
+	s.Put("op/config", map[string]any{"version": version, "routes": routeEntries, "services": services, "limits": map[string]any{"idleTimeoutMs": 12000}})
 }
--- a/internal/standin/direct/calls.go
+++ b/internal/standin/direct/handlers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
+func (s *Store) getKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.items[r.URL.Query().Get("key")]
@@ -16,17 +16,17 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.answer(w, struct {
+	s.respond(w, struct {
 		item
 		At int64 `json:"at"`
 	}{i, s.rev})
 }
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) listKeys(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists++
-	if s.noList {
+	s.listCalls++
+	if s.refuseLists {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -42,10 +42,10 @@
 	for _, k := range keys {
 		out.Items = append(out.Items, s.items[k])
 	}
-	s.answer(w, out)
+	s.respond(w, out)
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) watchKeys(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	wait, err2 := strconv.Atoi(r.URL.Query().Get("waitMs"))
 	if err != nil || err2 != nil {
@@ -55,7 +55,7 @@
 	until := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if after < s.oldest || after > s.rev {
+		if after < s.compacted || after > s.rev {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
@@ -69,15 +69,15 @@
 				out.Events = append(out.Events, e)
 			}
 		}
-		wake := s.wake
-		tell(w, s.era)
+		changed := s.changed
+		setEra(w, s.era)
 		s.mu.Unlock()
 		if len(out.Events) > 0 || wait == 0 {
-			answer(w, out)
+			writeJSON(w, out)
 			return
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-until:
 			wait = 0
 		case <-r.Context().Done():
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
+func (s *Store) commitTransaction(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Expect []struct {
 			Key string `json:"key"`
@@ -119,12 +119,12 @@
 	for _, k := range in.Remove {
 		s.remove(k)
 	}
-	s.answer(w, struct {
+	s.respond(w, struct {
 		Rev int64 `json:"rev"`
 	}{s.rev})
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		TTL int64 `json:"ttlMs"`
 	}
@@ -134,16 +134,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.leases[s.next] = time.Now().Add(time.Duration(in.TTL) * time.Millisecond)
-	s.answer(w, struct {
+	s.lastLease++
+	s.leases[s.lastLease] = time.Now().Add(time.Duration(in.TTL) * time.Millisecond)
+	s.respond(w, struct {
 		Lease int64 `json:"lease"`
 		TTL   int64 `json:"ttlMs"`
-	}{s.next, in.TTL})
+	}{s.lastLease, in.TTL})
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 is no lease
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 identifies no lease
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.leases[id]; !ok {
@@ -151,24 +151,25 @@
 		return
 	}
 	s.leases[id] = time.Now().Add(time.Minute)
-	s.answer(w, struct{}{})
+	s.respond(w, struct{}{})
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 is no lease
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 identifies no lease
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
-	s.answer(w, struct{}{})
+	s.respond(w, struct{}{})
 }
 
-// answer answers with the store locked, so that the era told is that of what was read.
-func (s *Store) answer(w http.ResponseWriter, v any) {
-	tell(w, s.era)
-	answer(w, v)
+// respond writes an answer with the store's era. The caller holds s.mu, so that the era
+// is the one in which the data was read.
+func (s *Store) respond(w http.ResponseWriter, v any) {
+	setEra(w, s.era)
+	writeJSON(w, v)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller hung up
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/internal/standin/direct/packet.go
+++ b/internal/standin/direct/packet.go
@@ -5,20 +5,20 @@
 	"net/netip"
 )
 
-// head is a packet's head; the stand-ins decode it on their own, so that a
-// mistake in the product's decoder shows.
-type head struct {
-	seq, ack   uint32
-	dst, src   netip.AddrPort
-	length     int
-	echo       uint32
-	syn, ackOn bool
-	fin, rst   bool
+// header is a packet's header. The stand-ins have their own codec, so that tests detect
+// faults in the product's codec.
+type header struct {
+	seq, ack    uint32
+	dst, src    netip.AddrPort
+	length      int
+	echo        uint32
+	syn, hasAck bool
+	fin, rst    bool
 }
 
-const headSize = 31
+const headerSize = 31
 
-// Bits of a head's flags.
+// Bits of the header's flags byte.
 const (
 	bitSYN = 2
 	bitFIN = 4
@@ -26,23 +26,25 @@
 	bitRST = 16
 )
 
-func parse(b []byte) (head, []byte, bool) {
-	if len(b) < headSize {
-		return head{}, nil, false
+// parsePacket decodes a packet into header and body. It returns false if the packet's
+// size does not match its header.
+func parsePacket(b []byte) (header, []byte, bool) {
+	if len(b) < headerSize {
+		return header{}, nil, false
 	}
 	le := binary.LittleEndian
-	h := head{
+	h := header{
 		seq: le.Uint32(b), ack: le.Uint32(b[4:]),
 		dst:    netip.AddrPortFrom(ip(b[8:]), le.Uint16(b[18:])),
 		src:    netip.AddrPortFrom(ip(b[14:]), le.Uint16(b[12:])),
 		length: int(le.Uint16(b[24:])), echo: le.Uint32(b[26:]),
-		syn: b[30]&bitSYN != 0, fin: b[30]&bitFIN != 0, ackOn: b[30]&bitACK != 0, rst: b[30]&bitRST != 0,
+		syn: b[30]&bitSYN != 0, fin: b[30]&bitFIN != 0, hasAck: b[30]&bitACK != 0, rst: b[30]&bitRST != 0,
 	}
-	return h, b[headSize:], len(b) == headSize+h.length
+	return h, b[headerSize:], len(b) == headerSize+h.length
 }
 
-func (h head) encode(body []byte) []byte {
-	b := make([]byte, headSize, headSize+len(body))
+func (h header) encode(body []byte) []byte {
+	b := make([]byte, headerSize, headerSize+len(body))
 	le := binary.LittleEndian
 	le.PutUint32(b, h.seq)
 	le.PutUint32(b[4:], h.ack)
@@ -52,7 +54,7 @@
 	le.PutUint16(b[18:], h.dst.Port())
 	le.PutUint16(b[24:], uint16(len(body)))
 	le.PutUint32(b[26:], h.echo)
-	for bit, on := range map[byte]bool{bitSYN: h.syn, bitFIN: h.fin, bitACK: h.ackOn, bitRST: h.rst} {
+	for bit, on := range map[byte]bool{bitSYN: h.syn, bitFIN: h.fin, bitACK: h.hasAck, bitRST: h.rst} {
 		if on {
 			b[30] |= bit
 		}
--- a/internal/standin/direct/relay.go
+++ b/internal/standin/direct/relay.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Relay carries the TCP connections of one balancer to the store and harms them
-// on request.
+// Relay forwards the TCP connections of one balancer to the store and injects faults
+// into them on request.
 type Relay struct {
 	Addr netip.AddrPort
 	to   netip.AddrPort
@@ -17,34 +17,35 @@
 	mu     sync.Mutex
 	refuse bool
 	delay  time.Duration
-	open   map[net.Conn]*carried
+	open   map[net.Conn]*relayedConn
 }
 
-// carried is a connection under way. A silenced one takes bytes and passes none,
-// without an end.
-type carried struct {
+// relayedConn is the state of an open connection. A silenced one stays open, but its
+// data is discarded.
+type relayedConn struct {
 	peer     net.Conn
 	silenced bool
 }
 
-// NewRelay listens on a free port and relays to the given address.
+// NewRelay returns a relay from a free port of loopback to the given address.
 func NewRelay(to netip.AddrPort) (*Relay, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: ln.Addr().(*net.TCPAddr).AddrPort(), to: to, ln: ln, open: map[net.Conn]*carried{}}
+	r := &Relay{Addr: ln.Addr().(*net.TCPAddr).AddrPort(), to: to, ln: ln, open: map[net.Conn]*relayedConn{}}
 	go r.accept()
 	return r, nil
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Reset()
 }
 
-// Refuse ends all connections and refuses new ones while on is set.
+// Refuse sets whether new connections are refused. When it is set on, open ones are
+// closed as well.
 func (r *Relay) Refuse(on bool) {
 	r.mu.Lock()
 	r.refuse = on
@@ -54,29 +55,30 @@
 	}
 }
 
-// Delay holds each piece of data back.
+// Delay sets the delay of each chunk of data that is forwarded.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Reset breaks all open connections.
+// Reset closes all open connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c, x := range r.open {
+	for c, rc := range r.open {
 		_ = c.Close()
-		_ = x.peer.Close()
+		_ = rc.peer.Close()
 	}
 }
 
-// Silence makes all open connections silent for good; new ones work.
+// Silence discards all further data on the connections that are open. New connections
+// work.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, x := range r.open {
-		x.silenced = true
+	for _, rc := range r.open {
+		rc.silenced = true
 	}
 }
 
@@ -89,24 +91,24 @@
 		r.mu.Lock()
 		refuse := r.refuse
 		r.mu.Unlock()
-		up, err := net.Dial("tcp4", r.to.String())
+		upstream, err := net.Dial("tcp4", r.to.String())
 		if err != nil || refuse {
 			_ = c.Close()
 			if err == nil {
-				_ = up.Close()
+				_ = upstream.Close()
 			}
 			continue
 		}
-		x := &carried{peer: up}
+		rc := &relayedConn{peer: upstream}
 		r.mu.Lock()
-		r.open[c] = x
+		r.open[c] = rc
 		r.mu.Unlock()
-		go r.carry(c, up, x)
-		go r.carry(up, c, x)
+		go r.copyData(c, upstream, rc)
+		go r.copyData(upstream, c, rc)
 	}
 }
 
-func (r *Relay) carry(from, to net.Conn, x *carried) {
+func (r *Relay) copyData(from, to net.Conn, rc *relayedConn) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -122,7 +124,7 @@
 			return
 		}
 		r.mu.Lock()
-		delay, silenced := r.delay, x.silenced
+		delay, silenced := r.delay, rc.silenced
 		r.mu.Unlock()
 		time.Sleep(delay)
 		if silenced {
--- a/internal/standin/direct/runlog.go
+++ b/internal/standin/direct/runlog.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// RunLog records the runs of requests at several targets, by their bodies. Its zero value
-// is empty.
+// RunLog records the executions of requests at one or more targets, by request body.
+// Its zero value is an empty log.
 type RunLog struct {
 	mu   sync.Mutex
 	runs map[string][]string
 }
 
-// add notes a run at a target.
+// add records an execution at a target.
 func (l *RunLog) add(body string, t *Target) {
 	run := fmt.Sprintf("%s born %d at %s", t.Name(), t.Reg.Born, time.Now().UTC().Format(time.RFC3339Nano))
 	l.mu.Lock()
@@ -24,8 +24,8 @@
 	l.runs[body] = append(l.runs[body], run)
 }
 
-// Repeated returns the requests that ran more than once, each with the targets, their starts
-// and the times.
+// Repeated returns the bodies of requests that were executed more than once, each with
+// the target, its start and the time of every execution.
 func (l *RunLog) Repeated() map[string][]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/direct/settings.go
+++ b/internal/standin/direct/settings.go
@@ -6,20 +6,20 @@
 	"os"
 )
 
-// Settings is what the platform writes into a balancer's settings file.
+// Settings holds what the platform writes into a balancer's settings file.
 type Settings struct {
 	VM         string
 	DataCenter string
-	Data       netip.AddrPort // callers' packets
-	Ready      netip.AddrPort // the routers' questions
-	Control    netip.AddrPort // other balancers
+	Data       netip.AddrPort // receives callers' packets
+	Ready      netip.AddrPort // answers the routers' readiness checks
+	Control    netip.AddrPort // receives other balancers' packets
 	Seeds      []netip.AddrPort
 	Store      netip.AddrPort
 	GraceS     float64 // seconds from SIGTERM to SIGKILL
-	Bootstrap  bool    // the whole fleet starts for the first time
+	Bootstrap  bool    // this is the first start of the whole fleet
 }
 
-// Write writes the settings file.
+// Write writes the settings to a file in the platform's JSON format.
 func (s Settings) Write(file string) error {
 	b, err := json.Marshal(map[string]any{
 		"nodeName": s.VM, "zone": s.DataCenter, "bootstrap": s.Bootstrap,
--- a/internal/standin/direct/store.go
+++ b/internal/standin/direct/store.go
@@ -1,6 +1,6 @@
-// Package direct holds stand-ins of the users' platform for tests: its metadata
-// store, targets that answer their callers themselves, and callers. They speak
-// the platform's published formats over loopback and can be told to fail.
+// Package direct provides stand-ins for the users' platform in tests: its metadata
+// store, targets that answer callers directly, and callers. They implement the
+// platform's published formats over loopback and inject faults on request.
 package direct
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// item is a key of the store as answers hold it.
+// item is a key with its value and revisions, as it appears in answers.
 type item struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -25,110 +25,111 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Fault is how the store treats calls.
+// Fault selects how the store answers a call.
 type Fault int
 
-// The faults.
+// The faults. Lost applies to POST calls; other calls are answered.
 const (
-	Healthy Fault = iota
-	Busy          // 503
-	Throttled
-	Silent // no answer while the fault lasts
-	Lost   // writes are done and not answered
+	Healthy   Fault = iota
+	Busy            // 503
+	Throttled       // 429
+	Silent          // no answer until the client gives up
+	Lost            // writes take effect but are not answered
 )
 
-// pageSize is the number of items in a page, small so that tests need several.
+// pageSize is the largest number of items in one answer. It is small so that listings
+// in tests take several pages.
 const pageSize = 10
 
-// Store is a stand-in of the metadata store.
+// Store is the stand-in for the metadata store.
 type Store struct {
 	Addr netip.AddrPort
 
-	mu     sync.Mutex
-	items  map[string]item
-	events []item
-	rev    int64
-	oldest int64 // changes up to here are no longer kept
-	leases map[int64]time.Time
-	next   int64
-	fault  func(client netip.Addr) Fault
-	calls  int
-	lists  int  // calls that list keys
-	noList bool // these are refused
-	era    int64
-	wake   chan struct{}
-	srv    *http.Server
+	mu          sync.Mutex
+	items       map[string]item
+	events      []item
+	rev         int64
+	compacted   int64 // revision up to which the change history was dropped
+	leases      map[int64]time.Time
+	lastLease   int64
+	fault       func(client netip.Addr) Fault
+	calls       int
+	listCalls   int  // number of calls that list keys
+	refuseLists bool // whether calls that list keys are refused
+	era         int64
+	changed     chan struct{}
+	srv         *http.Server
 }
 
-// NewStore starts a store on a free port of loopback.
+// NewStore starts an empty store on a free port of loopback, in era 1.
 func NewStore() (*Store, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		Addr:   ln.Addr().(*net.TCPAddr).AddrPort(),
-		items:  map[string]item{},
-		leases: map[int64]time.Time{},
-		fault:  func(netip.Addr) Fault { return Healthy },
-		wake:   make(chan struct{}),
-		era:    1,
+		Addr:    ln.Addr().(*net.TCPAddr).AddrPort(),
+		items:   map[string]item{},
+		leases:  map[int64]time.Time{},
+		fault:   func(netip.Addr) Fault { return Healthy },
+		changed: make(chan struct{}),
+		era:     1,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /kv-key", s.key)
-	mux.HandleFunc("GET /kv-range", s.list)
-	mux.HandleFunc("GET /kv-watch", s.watch)
-	mux.HandleFunc("POST /kv-txn", s.txn)
-	mux.HandleFunc("POST /kv-lease", s.grant)
-	mux.HandleFunc("POST /kv-keep/{id}", s.keep)
-	mux.HandleFunc("DELETE /kv-lease-end/{id}", s.end)
-	s.srv = &http.Server{Handler: s.faulty(mux), ReadHeaderTimeout: time.Second}
-	go func() { _ = s.srv.Serve(ln) }() // it ends with Close
+	mux.HandleFunc("GET /kv-key", s.getKey)
+	mux.HandleFunc("GET /kv-range", s.listKeys)
+	mux.HandleFunc("GET /kv-watch", s.watchKeys)
+	mux.HandleFunc("POST /kv-txn", s.commitTransaction)
+	mux.HandleFunc("POST /kv-lease", s.grantLease)
+	mux.HandleFunc("POST /kv-keep/{id}", s.renewLease)
+	mux.HandleFunc("DELETE /kv-lease-end/{id}", s.revokeLease)
+	s.srv = &http.Server{Handler: s.withFaults(mux), ReadHeaderTimeout: time.Second}
+	go func() { _ = s.srv.Serve(ln) }() // returns after Close
 	return s, nil
 }
 
-// Close ends the store.
+// Close stops the store's server.
 func (s *Store) Close() { _ = s.srv.Close() }
 
-// Fail sets how calls are treated, by the caller's address.
+// Fail sets the function that selects the fault of a call by its client's address.
 func (s *Store) Fail(f func(client netip.Addr) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// FailAll sets how all calls are treated.
-func (s *Store) FailAll(x Fault) { s.Fail(func(netip.Addr) Fault { return x }) }
+// FailAll sets the fault of all calls.
+func (s *Store) FailAll(f Fault) { s.Fail(func(netip.Addr) Fault { return f }) }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Listings returns how many of them listed keys.
+// Listings returns the number of received calls that list keys.
 func (s *Store) Listings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lists
+	return s.listCalls
 }
 
 // RefuseListings sets whether calls that list keys are refused.
 func (s *Store) RefuseListings(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noList = on
+	s.refuseLists = on
 }
 
-// Value returns a key's value, or nil.
+// Value returns a key's value, or nil if the key does not exist.
 func (s *Store) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
 }
 
-// Writes returns how often a key was written.
+// Writes returns how often a key was written, according to the change history.
 func (s *Store) Writes(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,24 +142,25 @@
 	return n
 }
 
-// Forget drops the history of changes.
+// Forget drops the change history, so that watches from an earlier revision are
+// answered with 410.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
-	s.oldest = s.rev
+	s.compacted = s.rev
 }
 
-// Put writes a key, as the operator and the targets do.
+// Put writes a value as JSON, as operators and targets do.
 func (s *Store) Put(key string, value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // a fault of the test that passes the value
 	}
 	s.PutRaw(key, b)
 }
 
-// PutRaw writes a key's bytes.
+// PutRaw writes a value that need not be valid JSON.
 func (s *Store) PutRaw(key string, b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +174,7 @@
 	s.remove(key)
 }
 
-// Keys returns the keys under a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,8 +202,8 @@
 
 func (s *Store) record(i item) {
 	s.events = append(s.events, i)
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *Store) keys(prefix, after string) []string {
@@ -215,25 +217,25 @@
 	return out
 }
 
-// faulty treats calls as the fault in force says.
-func (s *Store) faulty(next http.Handler) http.Handler {
+// withFaults counts calls, expires leases and applies the present fault.
+func (s *Store) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		client := netip.MustParseAddrPort(r.RemoteAddr).Addr()
 		s.mu.Lock()
 		s.calls++
-		tell(w, s.era)
-		x := s.fault(client)
+		setEra(w, s.era)
+		injected := s.fault(client)
 		s.expire()
 		s.mu.Unlock()
 		switch {
-		case x == Busy:
+		case injected == Busy:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case x == Throttled:
+		case injected == Throttled:
 			w.WriteHeader(http.StatusTooManyRequests)
-		case x == Silent:
+		case injected == Silent:
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
-		case x == Lost && r.Method == http.MethodPost:
+		case injected == Lost && r.Method == http.MethodPost:
 			next.ServeHTTP(discard{}, r)
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -243,10 +245,12 @@
 	})
 }
 
-// tell writes the store's era into an answer's head.
-func tell(w http.ResponseWriter, era int64) { w.Header().Set("Store-Era", strconv.FormatInt(era, 10)) }
+// setEra sets the store's era in the headers of an answer.
+func setEra(w http.ResponseWriter, era int64) {
+	w.Header().Set("Store-Era", strconv.FormatInt(era, 10))
+}
 
-// discard is a ResponseWriter whose answer is lost.
+// discard is a ResponseWriter that discards the answer.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/internal/standin/direct/target.go
+++ b/internal/standin/direct/target.go
@@ -22,45 +22,47 @@
 	State    string `json:"state"`
 	ColdLeft int    `json:"coldLeftMs"`
 	Sequence int    `json:"sequence"`
-	Born     int64  `json:"born,omitempty"` // Unix ms of its start; 0 if it does not tell
+	Born     int64  `json:"born,omitempty"` // Unix time of its start in ms; 0 if it is not reported
 }
 
-// Target is a stand-in target: it answers each request with its name.
+// Target is a stand-in target. It answers each request with the request's body and
+// its own name.
 type Target struct {
 	ID      uint64
 	Reg     Registration
-	Opened  atomic.Int64 // openings that it answered
-	Ran     atomic.Int64 // requests that it worked on
-	Foreign atomic.Int64 // packets of flows that it does not hold
-	// Log takes each run of a request; nil for no record.
-	Log    *RunLog
-	silent atomic.Bool
-	pace   atomic.Int64 // time that a request takes
-
-	udp   *net.UDPConn
-	tcp   net.Listener
-	srv   *http.Server
-	store *Store
-	reply uint16 // the port at which callers are reached
+	Opened  atomic.Int64 // openings answered, copies included
+	Ran     atomic.Int64 // requests executed
+	Foreign atomic.Int64 // packets of unknown flows, which it answers with a reset
+	// Log records each execution of a request; nil disables it.
+	Log      *RunLog
+	silent   atomic.Bool
+	workTime atomic.Int64 // duration of a request in ns
+
+	udp        *net.UDPConn
+	tcp        net.Listener
+	srv        *http.Server
+	store      *Store
+	callerPort uint16 // port at which callers receive packets
 
 	mu    sync.Mutex
-	start uint32 // number of this start
+	start uint32 // number of the present start
 	flows map[[2]netip.AddrPort]*targetFlow
 }
 
-// NewTarget starts a target at addr and registers it.
-func NewTarget(s *Store, id uint64, addr string, service, centre string, reply uint16) (*Target, error) {
-	t := &Target{ID: id, store: s, reply: reply}
+// NewTarget starts a target at addr, registers it in the store and sends its answers
+// to callerPort at the caller's address.
+func NewTarget(s *Store, id uint64, addr string, service, dataCenter string, callerPort uint16) (*Target, error) {
+	t := &Target{ID: id, store: s, callerPort: callerPort}
 	t.SetWork(time.Millisecond)
 	if err := t.listen(addr); err != nil {
 		return nil, err
 	}
-	t.Reg = Registration{Service: service, Address: t.udp.LocalAddr().String(), Zone: centre, Version: "v1", Slots: 2, State: "ready"}
+	t.Reg = Registration{Service: service, Address: t.udp.LocalAddr().String(), Zone: dataCenter, Version: "v1", Slots: 2, State: "ready"}
 	t.Register()
 	return t, nil
 }
 
-// listen begins a start of the target, which holds no flow.
+// listen opens the sockets for a new start of the target, which begins without flows.
 func (t *Target) listen(addr string) error {
 	a, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
@@ -79,17 +81,17 @@
 	t.udp, t.tcp, t.srv, t.flows = udp, tcp, srv, map[[2]netip.AddrPort]*targetFlow{}
 	t.start++
 	t.mu.Unlock()
-	go func() { _ = srv.Serve(tcp) }() // it ends with Stop
+	go func() { _ = srv.Serve(tcp) }() // returns after Stop
 	go t.serve(udp)
 	return nil
 }
 
-// Restart starts a target that was stopped again, under its identifier and at its
-// address. It says that it was born at a time, in Unix ms, which may be before that of
-// its last start.
+// Restart starts a stopped target again with the same identifier and address. It
+// registers born as the time of its start, in Unix ms, which may be before the time of
+// the previous start.
 func (t *Target) Restart(born int64) error {
 	t.silent.Store(false)
-	t.Reg.Sequence, t.Reg.State, t.Reg.Born = 0, "ready", born // before a request can run
+	t.Reg.Sequence, t.Reg.State, t.Reg.Born = 0, "ready", born // set before a request can run
 	if err := t.listen(t.Reg.Address); err != nil {
 		return err
 	}
@@ -97,34 +99,37 @@
 	return nil
 }
 
-// Name is the target's name in the store.
+// Name returns the target's name in the store.
 func (t *Target) Name() string { return fmt.Sprintf("i-%010x", t.ID) }
 
-// Register writes the target's entry, as each heartbeat does.
+// Register writes the target's registration with the next sequence number, as each
+// heartbeat of a target does.
 func (t *Target) Register() {
 	t.Reg.Sequence++
 	t.store.Put("servers/"+t.Name(), t.Reg)
 }
 
-// Drain announces that the target will leave.
+// Drain sets the target's state to draining and registers it.
 func (t *Target) Drain() {
 	t.Reg.State = "draining"
 	t.Register()
 }
 
-// SetWork sets how long a request takes.
-func (t *Target) SetWork(d time.Duration) { t.pace.Store(int64(d)) }
+// SetWork sets the duration of a request.
+func (t *Target) SetWork(d time.Duration) { t.workTime.Store(int64(d)) }
 
-// Silence makes the target answer nothing any more, as if it had lost power.
+// Silence stops the target from answering, health checks included, as if it had lost
+// power.
 func (t *Target) Silence() { t.silent.Store(true) }
 
-// Stop ends the target: its address refuses connections.
+// Stop closes the target's sockets, so that its address refuses connections, and
+// forgets its flows.
 func (t *Target) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.flows = nil
 	_ = t.udp.Close()
-	_ = t.tcp.Close() // the server may not have got it yet
+	_ = t.tcp.Close() // the server may not have taken the listener over yet
 	_ = t.srv.Close()
 }
 
@@ -143,79 +148,81 @@
 		if err != nil {
 			return
 		}
+		// The target's identifier precedes the packet; 0 addresses any target.
 		if n < 8 || t.silent.Load() {
 			continue
 		}
 		if id := binary.BigEndian.Uint64(buf); id != 0 && id != t.ID {
 			continue
 		}
-		if h, body, ok := parse(buf[8:n]); ok {
-			t.handle(h, string(body))
+		if h, body, ok := parsePacket(buf[8:n]); ok {
+			t.handlePacket(h, string(body))
 		}
 	}
 }
 
-func (t *Target) handle(h head, body string) {
+func (t *Target) handlePacket(h header, body string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.flows == nil {
-		return // it has stopped
+		return // the target has stopped
 	}
 	key := [2]netip.AddrPort{h.src, h.dst}
 	fl := t.flows[key]
 	switch {
 	case h.syn:
-		t.open(key, h)
+		t.answerOpening(key, h)
 	case h.rst:
 		delete(t.flows, key)
 	case fl == nil || !fl.accepts(h):
 		t.Foreign.Add(1)
-		t.send(h, head{seq: h.ack, rst: true}, nil)
+		t.send(h, header{seq: h.ack, rst: true}, nil)
 	case h.fin:
 		delete(t.flows, key)
-	case len(body) > 0 && h.seq == fl.next:
-		fl.next += uint32(len(body))
+	case len(body) > 0 && h.seq == fl.nextSeq:
+		fl.nextSeq += uint32(len(body))
 		t.Ran.Add(1)
 		if t.Log != nil {
 			t.Log.add(body, t)
 		}
-		go t.work(h, fl, body)
+		go t.execute(h, fl, body)
 	}
 }
 
-// open answers an opening. A further copy of it gets the same answer.
-func (t *Target) open(key [2]netip.AddrPort, h head) {
+// answerOpening answers an opening. A further copy of it gets the same answer and
+// leaves the flow as it is.
+func (t *Target) answerOpening(key [2]netip.AddrPort, h header) {
 	t.Opened.Add(1)
 	fl := t.flows[key]
 	if fl == nil || fl.opening != h.seq {
 		fl = newTargetFlow(t.start, h.seq)
 		t.flows[key] = fl
 	}
-	t.send(h, head{seq: fl.initial, ack: h.seq + 1, syn: true, ackOn: true}, nil)
+	t.send(h, header{seq: fl.isn, ack: h.seq + 1, syn: true, hasAck: true}, nil)
 }
 
-// Holds reports whether a flow with this initial number of the target's was opened at its
-// present start, and not at one before.
+// Holds reports whether the target is running and a flow with this initial sequence
+// number of the target was opened in its present start, not in an earlier one.
 func (t *Target) Holds(initial uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.flows != nil && ofStart(t.start, initial)
+	return t.flows != nil && isFromStart(t.start, initial)
 }
 
-// work answers a request once.
-func (t *Target) work(h head, fl *targetFlow, body string) {
-	time.Sleep(time.Duration(t.pace.Load()))
+// execute waits for the duration of a request and answers it once.
+func (t *Target) execute(h header, fl *targetFlow, body string) {
+	time.Sleep(time.Duration(t.workTime.Load()))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.flows == nil || t.flows[[2]netip.AddrPort{h.src, h.dst}] != fl {
-		return // the flow or this start of the target has ended
+		return // the flow has ended or the target has stopped
 	}
 	answer := []byte(strings.TrimSpace(body) + " by " + t.Name())
-	t.send(h, head{seq: fl.sent, ack: fl.next, ackOn: true}, answer)
-	fl.sent += uint32(len(answer))
+	t.send(h, header{seq: fl.sendSeq, ack: fl.nextSeq, hasAck: true}, answer)
+	fl.sendSeq += uint32(len(answer))
 }
 
-func (t *Target) send(to, h head, body []byte) {
+func (t *Target) send(to, h header, body []byte) {
 	h.src, h.dst, h.echo = to.dst, to.src, to.echo
-	_, _ = t.udp.WriteToUDPAddrPort(h.encode(body), netip.AddrPortFrom(to.src.Addr(), t.reply)) // lost packets are part of the protocol
+	_, _ = t.udp.WriteToUDPAddrPort(h.encode(body), netip.AddrPortFrom(to.src.Addr(), t.callerPort)) // packet loss is part of the protocol
 }
--- a/internal/standin/direct/target_test.go
+++ b/internal/standin/direct/target_test.go
@@ -9,10 +9,11 @@
 
 const testPort = 18599
 
-// opening is a caller's opening of the flow that the tests use.
-var opening = head{seq: 100, src: netip.MustParseAddrPort("127.88.1.1:2000"), dst: netip.MustParseAddrPort("198.18.0.1:443"), syn: true}
+// opening is the caller's opening of the tests' flow.
+var opening = header{seq: 100, src: netip.MustParseAddrPort("127.88.1.1:2000"), dst: netip.MustParseAddrPort("198.18.0.1:443"), syn: true}
 
-// bareTarget is a target whose answers a test reads.
+// bareTarget is a target without balancers: the test passes packets to it and reads
+// its answers.
 type bareTarget struct {
 	*Target
 	t       *testing.T
@@ -40,29 +41,30 @@
 	return bareTarget{x, t, answers}
 }
 
-// exchange hands a packet to the target and returns its answer.
-func (b bareTarget) exchange(h head, body string) (head, string) {
+// exchange passes a packet to the target and returns its answer.
+func (b bareTarget) exchange(h header, body string) (header, string) {
 	b.t.Helper()
-	b.handle(h, body)
+	b.handlePacket(h, body)
 	buf := make([]byte, 2048)
 	_ = b.answers.SetReadDeadline(time.Now().Add(2 * time.Second))
 	n, err := b.answers.Read(buf)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	answer, text, ok := parse(buf[:n])
+	answer, text, ok := parsePacket(buf[:n])
 	if !ok {
-		b.t.Fatal("unreadable answer")
+		b.t.Fatal("answer cannot be parsed")
 	}
 	return answer, string(text)
 }
 
 // request is a caller's request on a flow that the target accepted.
-func request(accept head) head {
-	return head{seq: opening.seq + 1, ack: accept.seq + 1, src: opening.src, dst: opening.dst, ackOn: true}
+func request(accept header) header {
+	return header{seq: opening.seq + 1, ack: accept.seq + 1, src: opening.src, dst: opening.dst, hasAck: true}
 }
 
-// A late copy of an opening makes a target forget that it ran the flow's first request.
+// Guards against a target that starts the flow anew on a late copy of its opening, and
+// so executes the flow's first request again when it is retransmitted.
 func TestLateCopyOfAnOpeningChangesNoFlow(t *testing.T) {
 	x := newBareTarget(t)
 	accept, _ := x.exchange(opening, "")
@@ -70,13 +72,14 @@
 	if again, _ := x.exchange(opening, ""); again.seq != accept.seq {
 		t.Errorf("answers %d and %d to copies of one opening", accept.seq, again.seq)
 	}
-	x.handle(request(accept), "note")
+	x.handlePacket(request(accept), "note")
 	if runs := x.Log.Repeated(); len(runs) > 0 {
 		t.Errorf("ran more than once: %v", runs)
 	}
 }
 
-// A late copy of an opening has a target's next start take a request meant for the last one.
+// Guards against a restarted target that opens a flow on a late copy of the opening,
+// and then executes a request meant for its previous start.
 func TestNextStartTakesNoRequestOfTheLast(t *testing.T) {
 	x := newBareTarget(t)
 	accept, _ := x.exchange(opening, "")
@@ -86,10 +89,10 @@
 		t.Fatal(err)
 	}
 	if x.Holds(accept.seq) {
-		t.Error("the next start holds a flow of the last one")
+		t.Error("the restarted target reports a flow of its previous start as its own")
 	}
 	if again, _ := x.exchange(opening, ""); again.seq == accept.seq {
-		t.Fatal("both starts answered an opening with the same number")
+		t.Fatal("both starts answered an opening with the same initial sequence number")
 	}
 	if answer, _ := x.exchange(request(accept), "note"); !answer.rst {
 		t.Errorf("answer %+v, want a reset", answer)
