--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,6 +1,6 @@
-// Package fabric is the stand-in for the network before the balancers: it
-// sprays every packet of callers and targets over the ready balancers at
-// random and delivers the balancers' packets to the callers.
+// Package fabric is the stand-in for the network in front of the balancers. It
+// sends every packet of callers and targets to a random ready balancer (packet
+// spraying) and delivers the balancers' packets to the callers.
 package fabric
 
 import (
@@ -23,7 +23,7 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Balancer is one entry VM as the fabric knows it.
+// Balancer describes a balancer VM to which the fabric may send packets.
 type Balancer struct {
 	Name       string         `json:"name"`
 	DataCenter string         `json:"dataCenter"`
@@ -31,34 +31,34 @@
 	Admin      string         `json:"admin"`
 }
 
-// Fabric sprays packets.
+// Fabric holds the fabric's state, which its control endpoint changes.
 type Fabric struct {
-	ready     atomic.Pointer[[]Balancer]
-	cut       atomic.Pointer[map[string]bool] // data centres that are isolated
-	entry     atomic.Pointer[string]          // see spray
-	loss      atomic.Int64                    // packets lost per million
-	dup       atomic.Int64                    // packets doubled per million
-	mu        sync.RWMutex
-	all       []Balancer
-	callers   sync.Map // netip.Addr -> *net.UDPAddr
-	sources   sync.Map // netip.Addr -> *net.UDPConn bound to that target's address
-	toCallers *net.UDPConn
-	Sprayed   atomic.Uint64
-	NoReady   atomic.Uint64
+	ready         atomic.Pointer[[]Balancer]
+	isolated      atomic.Pointer[map[string]bool] // isolated data centres
+	entry         atomic.Pointer[string]          // data centre that receives callers' packets, empty for all; see spray
+	loss          atomic.Int64                    // packets dropped per million
+	dup           atomic.Int64                    // packets duplicated per million
+	mu            sync.RWMutex
+	balancers     []Balancer
+	callers       sync.Map // netip.Addr -> *net.UDPAddr
+	sourceSockets sync.Map // netip.Addr -> *net.UDPConn bound to that target's address
+	toCallers     *net.UDPConn
+	Sprayed       atomic.Uint64
+	NoReady       atomic.Uint64
 }
 
 // Main runs the fabric until ctx ends.
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("fabric", flag.ContinueOnError)
-	ip := fs.String("ip", "127.0.9.1", "address: 6081 for balancers, 6082 for callers, 6083 for targets")
+	ip := fs.String("ip", "127.0.9.1", "IP address to listen on; ports: 6081 for balancers, 6082 for callers, 6083 for targets")
 	control := fs.String("control", "127.0.9.1:8080", "address of the control endpoint")
-	every := fs.Duration("ready-interval", 100*time.Millisecond, "how often readiness is asked")
+	interval := fs.Duration("ready-interval", 100*time.Millisecond, "interval between readiness checks")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
 	f := &Fabric{}
 	f.ready.Store(&[]Balancer{})
-	f.cut.Store(&map[string]bool{})
+	f.isolated.Store(&map[string]bool{})
 	f.entry.Store(new(string))
 	for port, run := range map[string]func(*net.UDPConn){"6081": f.fromBalancers, "6082": f.fromCallers, "6083": f.fromTargets} {
 		ua, err := net.ResolveUDPAddr("udp", net.JoinHostPort(*ip, port))
@@ -78,8 +78,8 @@
 			go run(c)
 		}
 	}
-	go f.poll(ctx, *every)
-	srv := &http.Server{Addr: *control, Handler: f.handler()}
+	go f.pollReadiness(ctx, *interval)
+	srv := &http.Server{Addr: *control, Handler: f.controlHandler()}
 	go func() { <-ctx.Done(); _ = srv.Close() }()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "fabric: control endpoint")
@@ -87,6 +87,7 @@
 	return nil
 }
 
+// receive calls f for each datagram that arrives at c, until c is closed.
 func receive(c *net.UDPConn, f func(b []byte, from netip.AddrPort)) {
 	b := make([]byte, 1<<16)
 	for {
@@ -100,8 +101,8 @@
 	}
 }
 
-// inner decodes an encapsulated segment.
-func inner(b []byte) (packet.Segment, error) {
+// parseInner decodes the segment in a Geneve datagram.
+func parseInner(b []byte) (packet.Segment, error) {
 	d, err := geneve.Parse(b)
 	if err != nil {
 		return packet.Segment{}, err
@@ -111,7 +112,7 @@
 
 func (f *Fabric) fromCallers(c *net.UDPConn) {
 	receive(c, func(b []byte, from netip.AddrPort) {
-		seg, err := inner(b)
+		seg, err := parseInner(b)
 		if err != nil {
 			return
 		}
@@ -124,14 +125,15 @@
 
 func (f *Fabric) fromTargets(c *net.UDPConn) {
 	receive(c, func(b []byte, from netip.AddrPort) {
-		if out := f.source(from.Addr()); out != nil {
+		if out := f.sourceSocket(from.Addr()); out != nil {
 			f.spray(out, b, DataCenterOf(from.Addr(), *f.ready.Load()))
 		}
 	})
 }
 
-// DataCenterOf returns the data centre of an address by the stand-ins' plan,
-// in which the second byte is the data centre's.
+// DataCenterOf returns the data centre of an address. In the stand-ins' address
+// plan, the second byte of an address identifies the data centre. It returns "" if no
+// balancer in all has an address in the same data centre.
 func DataCenterOf(a netip.Addr, all []Balancer) string {
 	if !a.Is4() {
 		return ""
@@ -146,7 +148,7 @@
 
 func (f *Fabric) fromBalancers(c *net.UDPConn) {
 	receive(c, func(b []byte, _ netip.AddrPort) {
-		seg, err := inner(b)
+		seg, err := parseInner(b)
 		if err != nil {
 			return
 		}
@@ -156,38 +158,42 @@
 	})
 }
 
-// spray sends b to a random ready balancer. A packet that comes from an
-// isolated data centre reaches only that data centre's balancers, and no
-// other packet reaches those. With an entry data centre each data centre is a
-// group: callers' packets go to the entry's balancers, targets' to their own.
+// spray sends b to a random ready balancer. dc is the data centre of the sender,
+// empty for callers, whose packets go to all ready balancers. Packets of targets in
+// an isolated data centre go only to that data centre's balancers, and packets of
+// other targets never do. If an entry data centre is set, callers' packets go to its
+// balancers, and targets' packets to the balancers of the target's data centre.
 func (f *Fabric) spray(c *net.UDPConn, b []byte, dc string) {
 	if e := *f.entry.Load(); e != "" {
 		f.sprayGroup(c, b, cmp.Or(dc, e))
 		return
 	}
-	cut := *f.cut.Load()
+	isolated := *f.isolated.Load()
 	ready := *f.ready.Load()
-	pick := make([]Balancer, 0, 16)
+	candidates := make([]Balancer, 0, 16)
 	for _, r := range ready {
-		if dc == "" || r.DataCenter == dc || !cut[r.DataCenter] && !cut[dc] {
-			pick = append(pick, r)
+		if dc == "" || r.DataCenter == dc || !isolated[r.DataCenter] && !isolated[dc] {
+			candidates = append(candidates, r)
 		}
 	}
-	f.sprayOver(c, b, pick)
+	f.sprayOver(c, b, candidates)
 }
 
+// sprayGroup sends b to a random ready balancer of one data centre.
 func (f *Fabric) sprayGroup(c *net.UDPConn, b []byte, dc string) {
-	var pick []Balancer
+	var candidates []Balancer
 	for _, r := range *f.ready.Load() {
 		if r.DataCenter == dc {
-			pick = append(pick, r)
+			candidates = append(candidates, r)
 		}
 	}
-	f.sprayOver(c, b, pick)
+	f.sprayOver(c, b, candidates)
 }
 
-func (f *Fabric) sprayOver(c *net.UDPConn, b []byte, pick []Balancer) {
-	if len(pick) == 0 {
+// sprayOver sends b to a random balancer of candidates, and drops or duplicates it
+// with the set probabilities.
+func (f *Fabric) sprayOver(c *net.UDPConn, b []byte, candidates []Balancer) {
+	if len(candidates) == 0 {
 		f.NoReady.Add(1)
 		return
 	}
@@ -200,32 +206,32 @@
 	}
 	for range n {
 		f.Sprayed.Add(1)
-		to := pick[rand.IntN(len(pick))]
+		to := candidates[rand.IntN(len(candidates))]
 		_, _ = c.WriteToUDPAddrPort(b, to.Data)
 	}
 }
 
-func (f *Fabric) poll(ctx context.Context, every time.Duration) {
+func (f *Fabric) pollReadiness(ctx context.Context, interval time.Duration) {
 	client := &http.Client{Timeout: 500 * time.Millisecond}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			f.pollOnce(client)
+			f.updateReady(client)
 		}
 	}
 }
 
-func (f *Fabric) pollOnce(client *http.Client) {
+func (f *Fabric) updateReady(client *http.Client) {
 	f.mu.RLock()
-	all := append([]Balancer(nil), f.all...)
+	balancers := append([]Balancer(nil), f.balancers...)
 	f.mu.RUnlock()
-	ok := make([]bool, len(all))
+	ok := make([]bool, len(balancers))
 	var wg sync.WaitGroup
-	for i, b := range all {
+	for i, b := range balancers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -238,8 +244,8 @@
 		}()
 	}
 	wg.Wait()
-	ready := make([]Balancer, 0, len(all))
-	for i, b := range all {
+	ready := make([]Balancer, 0, len(balancers))
+	for i, b := range balancers {
 		if ok[i] {
 			ready = append(ready, b)
 		}
@@ -247,22 +253,22 @@
 	f.ready.Store(&ready)
 }
 
-func (f *Fabric) handler() http.Handler {
+func (f *Fabric) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /balancers", func(w http.ResponseWriter, r *http.Request) {
-		var all []Balancer
-		if err := json.NewDecoder(r.Body).Decode(&all); err != nil {
+		var balancers []Balancer
+		if err := json.NewDecoder(r.Body).Decode(&balancers); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		f.mu.Lock()
-		f.all = all
+		f.balancers = balancers
 		f.mu.Unlock()
 	})
 	mux.HandleFunc("POST /set", func(w http.ResponseWriter, r *http.Request) {
 		var s struct {
 			Cut   []string `json:"cut"`
-			Loss  int64    `json:"loss"` // per million
+			Loss  int64    `json:"loss"` // packets per million
 			Dup   int64    `json:"dup"`
 			Entry string   `json:"entry"`
 		}
@@ -270,11 +276,11 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		cut := map[string]bool{}
+		isolated := map[string]bool{}
 		for _, dc := range s.Cut {
-			cut[strings.TrimSpace(dc)] = true
+			isolated[strings.TrimSpace(dc)] = true
 		}
-		f.cut.Store(&cut)
+		f.isolated.Store(&isolated)
 		f.entry.Store(&s.Entry)
 		f.loss.Store(s.Loss)
 		f.dup.Store(s.Dup)
--- a/internal/standin/fabric/targets.go
+++ b/internal/standin/fabric/targets.go
@@ -5,18 +5,19 @@
 	"net/netip"
 )
 
-// source returns the socket that answers of target a leave from. A routed
-// fabric keeps a packet's outer source, by which balancers know the target;
-// here the socket is bound to that address.
-func (f *Fabric) source(a netip.Addr) *net.UDPConn {
-	if c, ok := f.sources.Load(a); ok {
+// sourceSocket returns the socket from which packets of the target at address a
+// are sent, or nil if it cannot be opened. A routed fabric preserves a packet's
+// outer source address, by which balancers identify the target; here the socket is
+// bound to that address.
+func (f *Fabric) sourceSocket(a netip.Addr) *net.UDPConn {
+	if c, ok := f.sourceSockets.Load(a); ok {
 		return c.(*net.UDPConn)
 	}
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(a, 0)))
 	if err != nil {
 		return nil
 	}
-	if other, loaded := f.sources.LoadOrStore(a, c); loaded {
+	if other, loaded := f.sourceSockets.LoadOrStore(a, c); loaded {
 		_ = c.Close()
 		return other.(*net.UDPConn)
 	}
