--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,7 +1,8 @@
-// Package faultproxy is a relay between processes that loses, delays, doubles
-// and reorders datagrams, and cuts links, also TCP ones, on demand. Each link has its
-// own listening address; the relay's outgoing sockets are bound to the
-// sender's address, which the receiver therefore sees as usual.
+// Package faultproxy is a relay between processes that on request drops, delays,
+// duplicates and reorders datagrams, and cuts links, including TCP connections to
+// the platform. Each link has its own listening address. The relay's outgoing
+// sockets are bound to the sender's address, so that the receiver sees the same
+// source address as without the relay.
 package faultproxy
 
 import (
@@ -21,8 +22,8 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// Link is one direction from a process to another. Datagrams that arrive at
-// Listen go on to To from the IP address Source.
+// Link is one direction between two processes. Datagrams that arrive at Listen are
+// sent to To from the IP address Source.
 type Link struct {
 	From   string         `json:"from"` // data centre of the sender
 	Dest   string         `json:"dest"` // data centre of the receiver
@@ -31,29 +32,30 @@
 	Source netip.Addr     `json:"source"`
 }
 
-// Plan is everything that a relay process carries.
+// Plan lists the links and gates of a relay process.
 type Plan struct {
 	Links []Link `json:"links"`
 	Gates []Gate `json:"gates"`
 }
 
-// Faults applies to all links; Cut isolates data centres from each other.
+// Faults holds the faults that apply to all links. Probabilities are from 0 to 1.
 type Faults struct {
-	Loss    float64  `json:"loss"` // 0 to 1
-	Dup     float64  `json:"dup"`
-	Reorder float64  `json:"reorder"` // share that is held for ReorderBy
-	Delay   int      `json:"delayMs"`
-	Hold    int      `json:"holdMs"`
-	Cut     []string `json:"cut"`
-	// Platform names the data centres that are cut off from the platform.
+	Loss    float64  `json:"loss"`    // probability that a datagram is dropped
+	Dup     float64  `json:"dup"`     // probability that a datagram is sent twice
+	Reorder float64  `json:"reorder"` // probability that a datagram is delayed further, by holdMs
+	Delay   int      `json:"delayMs"` // of each datagram, in ms
+	Hold    int      `json:"holdMs"`  // further delay of reordered datagrams, in ms
+	Cut     []string `json:"cut"`     // data centres that are isolated from all others
+	// Platform lists the data centres that are cut off from the platform.
 	Platform []string `json:"platform"`
 }
 
+// proxy is the state of a relay process.
 type proxy struct {
-	mu     sync.RWMutex
-	faults Faults
-	cut    map[string]bool
-	socks  sync.Map // sender and link -> *net.UDPConn
+	mu       sync.RWMutex
+	faults   Faults
+	cut      map[string]bool
+	outgoing sync.Map // sender and link -> *net.UDPConn
 }
 
 // Main relays until ctx ends.
@@ -74,7 +76,7 @@
 	}
 	p := &proxy{cut: map[string]bool{}}
 	for _, g := range plan.Gates {
-		if err := p.open(ctx, g); err != nil {
+		if err := p.listenGate(ctx, g); err != nil {
 			return err
 		}
 	}
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// ServeHTTP takes new Faults.
+// ServeHTTP replaces the faults by those in the request's body.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -110,6 +112,7 @@
 	p.mu.Unlock()
 }
 
+// relay forwards the datagrams of a link until its socket is closed.
 func (p *proxy) relay(in *net.UDPConn, l Link) {
 	b := make([]byte, 1<<16)
 	for {
@@ -120,15 +123,16 @@
 		if err != nil {
 			continue
 		}
-		out := p.socket(in, geneve.Unmap(from), l)
+		out := p.outgoingSocket(in, geneve.Unmap(from), l)
 		if out != nil {
-			p.pass(l, b[:n], func(b []byte) { _, _ = out.Write(b) })
+			p.applyFaults(l, b[:n], func(b []byte) { _, _ = out.Write(b) })
 		}
 	}
 }
 
-// pass applies the faults of the moment to one datagram.
-func (p *proxy) pass(l Link, b []byte, send func([]byte)) {
+// applyFaults sends one datagram as the present faults require: never, once or twice,
+// possibly after a delay. Delayed datagrams are sent from a copy of b.
+func (p *proxy) applyFaults(l Link, b []byte, send func([]byte)) {
 	p.mu.RLock()
 	f := p.faults
 	cut := l.From != l.Dest && (p.cut[l.From] || p.cut[l.Dest])
@@ -154,21 +158,22 @@
 	}
 }
 
-// socket returns the sender's outgoing socket, whose replies go back to it
-// through the same faults.
-func (p *proxy) socket(in *net.UDPConn, from netip.AddrPort, l Link) *net.UDPConn {
+// outgoingSocket returns the socket on which a sender's datagrams leave, or nil if it
+// cannot be opened. Replies that arrive on it go back to the sender with the same
+// faults applied.
+func (p *proxy) outgoingSocket(in *net.UDPConn, from netip.AddrPort, l Link) *net.UDPConn {
 	key := struct {
 		from netip.AddrPort
 		to   netip.AddrPort
 	}{from, l.Listen}
-	if c, ok := p.socks.Load(key); ok {
+	if c, ok := p.outgoing.Load(key); ok {
 		return c.(*net.UDPConn)
 	}
 	c, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(l.Source, 0)), net.UDPAddrFromAddrPort(l.To))
 	if err != nil {
 		return nil
 	}
-	p.socks.Store(key, c)
+	p.outgoing.Store(key, c)
 	go func() {
 		b := make([]byte, 1<<16)
 		for {
@@ -179,7 +184,7 @@
 			if err != nil {
 				continue
 			}
-			p.pass(l, b[:n], func(b []byte) { _, _ = in.WriteToUDPAddrPort(b, from) })
+			p.applyFaults(l, b[:n], func(b []byte) { _, _ = in.WriteToUDPAddrPort(b, from) })
 		}
 	}()
 	return c
--- a/internal/standin/faultproxy/tcp.go
+++ b/internal/standin/faultproxy/tcp.go
@@ -11,18 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// Gate is a TCP relay from a data centre to the platform. While the data
-// centre is cut off from the platform, connections are ended and new ones are
-// refused.
+// Gate is a TCP relay from a data centre to the platform. While the data centre is
+// cut off from the platform, open connections are closed, and new ones are closed as
+// soon as they are accepted.
 type Gate struct {
 	From   string         `json:"from"`
 	Listen netip.AddrPort `json:"listen"`
 	To     netip.AddrPort `json:"to"`
 }
 
-const gatePoll = 20 * time.Millisecond
+// gatePollInterval is how often a connection checks whether its gate is cut.
+const gatePollInterval = 20 * time.Millisecond
 
-func (p *proxy) open(ctx context.Context, g Gate) error {
+// listenGate accepts a gate's connections until ctx ends.
+func (p *proxy) listenGate(ctx context.Context, g Gate) error {
 	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(g.Listen))
 	if err != nil {
 		return errors.Wrapf(err, "faultproxy: listen on %s", g.Listen)
@@ -35,14 +37,15 @@
 				return
 			}
 			if err == nil {
-				go p.join(c, g)
+				go p.relayConn(c, g)
 			}
 		}
 	}()
 	return nil
 }
 
-func (p *proxy) closed(g Gate) bool {
+// isCut reports whether a gate's data centre is cut off from the platform.
+func (p *proxy) isCut(g Gate) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, dc := range p.faults.Platform {
@@ -53,10 +56,10 @@
 	return false
 }
 
-// join relays one connection until either end closes it or it is cut.
-func (p *proxy) join(in *net.TCPConn, g Gate) {
+// relayConn relays one connection until either end closes it or the gate is cut.
+func (p *proxy) relayConn(in *net.TCPConn, g Gate) {
 	defer func() { _ = in.Close() }()
-	if p.closed(g) {
+	if p.isCut(g) {
 		return
 	}
 	out, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(g.To))
@@ -72,9 +75,9 @@
 			once.Do(func() { close(done) })
 		}()
 	}
-	t := time.NewTicker(gatePoll)
+	t := time.NewTicker(gatePollInterval)
 	defer t.Stop()
-	for !p.closed(g) {
+	for !p.isCut(g) {
 		select {
 		case <-done:
 			return
