--- a/internal/standin/netstack/netstack.go
+++ b/internal/standin/netstack/netstack.go
@@ -1,6 +1,6 @@
-// Package netstack gives the stand-ins a userspace TCP stack whose packets
-// leave and arrive as Geneve datagrams, so that ordinary HTTP clients and
-// servers speak through the sprayed data path.
+// Package netstack provides a userspace TCP stack for the stand-ins. It exchanges
+// raw IP packets with its user, who carries them in Geneve datagrams, so that
+// unmodified HTTP clients and servers communicate through the balancers.
 package netstack
 
 import (
@@ -23,7 +23,7 @@
 const (
 	nic       = 1
 	mtu       = 1400
-	queueSize = 4096
+	queueSize = 4096 // packets sent and not yet passed on
 )
 
 // Net is a TCP stack with one interface.
@@ -32,8 +32,8 @@
 	link  *channel.Endpoint
 }
 
-// New returns a stack that owns addrs. Packets it sends go to out until ctx
-// ends.
+// New returns a stack that owns addrs. It passes the packets that it sends to out
+// until ctx ends; out must not keep the slice.
 func New(ctx context.Context, addrs []netip.Addr, out func([]byte)) (*Net, error) {
 	s := stack.New(stack.Options{
 		NetworkProtocols:   []stack.NetworkProtocolFactory{ipv4.NewProtocol, ipv6.NewProtocol},
@@ -44,7 +44,7 @@
 		return nil, errors.Errorf("netstack: create interface: %s", err)
 	}
 	for _, a := range addrs {
-		if err := n.add(a); err != nil {
+		if err := n.addAddress(a); err != nil {
 			return nil, err
 		}
 	}
@@ -52,11 +52,11 @@
 		{Destination: header.IPv4EmptySubnet, NIC: nic},
 		{Destination: header.IPv6EmptySubnet, NIC: nic},
 	})
-	go n.pump(ctx, out)
+	go n.forwardOutbound(ctx, out)
 	return n, nil
 }
 
-func (n *Net) add(a netip.Addr) error {
+func (n *Net) addAddress(a netip.Addr) error {
 	pa := tcpip.ProtocolAddress{
 		Protocol:          protocol(a),
 		AddressWithPrefix: tcpip.AddrFromSlice(a.AsSlice()).WithPrefix(),
@@ -74,7 +74,8 @@
 	return ipv6.ProtocolNumber
 }
 
-func (n *Net) pump(ctx context.Context, out func([]byte)) {
+// forwardOutbound passes the packets that the stack sends to out until ctx ends.
+func (n *Net) forwardOutbound(ctx context.Context, out func([]byte)) {
 	for {
 		pkt := n.link.ReadContext(ctx)
 		if pkt == nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Inject delivers a packet that arrived.
+// Inject passes a copy of a received packet to the stack.
 func (n *Net) Inject(b []byte) {
 	if len(b) == 0 {
 		return
@@ -101,7 +102,8 @@
 	pkt.DecRef()
 }
 
-// Dial connects from a given address to a service address.
+// Dial opens a TCP connection from one of the stack's addresses to a service address.
+// The stack chooses the port.
 func (n *Net) Dial(ctx context.Context, from netip.Addr, to netip.AddrPort) (net.Conn, error) {
 	local := tcpip.FullAddress{NIC: nic, Addr: tcpip.AddrFromSlice(from.AsSlice())}
 	remote := tcpip.FullAddress{NIC: nic, Addr: tcpip.AddrFromSlice(to.Addr().AsSlice()), Port: to.Port()}
