--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,8 +1,8 @@
 // Package platform is the stand-in for the platform's key-value store. It
-// speaks the part of Consul's KV and session API that rosedale uses: reads,
-// compare-and-swap, recursive reads, blocking queries, and sessions whose
-// locks lapse. It keeps everything in memory, counts calls, and can be slow,
-// unavailable, rewound, or lose an answer after the write took effect.
+// implements the part of Consul's KV and session API that rosedale uses: reads,
+// compare-and-swap, recursive reads, blocking queries, and sessions whose locks
+// expire. It keeps all data in memory, counts calls, and on request is slow,
+// unavailable, or loses the answers of writes that took effect.
 package platform
 
 import (
@@ -21,8 +21,10 @@
 	"github.com/pkg/errors"
 )
 
-const maxValue = 1 << 20
+// maxValueSize is the largest size of a value, in bytes.
+const maxValueSize = 1 << 20
 
+// pair is a key as answers encode it, with the field names of Consul's API.
 type pair struct {
 	Key         string
 	Value       string
@@ -31,26 +33,27 @@
 	Session     string `json:",omitempty"`
 }
 
+// session is a lock holder that expires unless it is renewed.
 type session struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// Faults is what an experiment can set.
+// Faults holds the faults that an experiment can inject.
 type Faults struct {
-	Down        bool          `json:"down"`
-	Delay       time.Duration `json:"delay"`
-	LoseAnswers int           `json:"loseAnswers"` // of the next writes
+	Down        bool          `json:"down"`        // answer every call with 503
+	Delay       time.Duration `json:"delay"`       // before each call is handled
+	LoseAnswers int           `json:"loseAnswers"` // number of answers to lose, of the next writes and deletions of keys
 }
 
-// Store is the stand-in's state.
+// Store holds the keys, sessions, faults and call counters.
 type Store struct {
 	mu       sync.Mutex
 	index    uint64
 	pairs    map[string]*pair
-	deleted  map[string]uint64 // index of each deletion
+	deleted  map[string]uint64 // index of each key's deletion
 	sessions map[string]*session
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced at each change
 	faults   Faults
 	Reads    int
 	Writes   int
@@ -77,22 +80,22 @@
 	return nil
 }
 
-// Handler returns the HTTP API with the experiment's own endpoints.
+// Handler returns the HTTP API with the endpoints /faults and /calls for experiments.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/{key...}", s.guard(s.get))
-	mux.HandleFunc("PUT /v1/kv/{key...}", s.guard(s.put))
-	mux.HandleFunc("DELETE /v1/kv/{key...}", s.guard(s.del))
-	mux.HandleFunc("PUT /v1/session/create", s.guard(s.createSession))
-	mux.HandleFunc("PUT /v1/session/renew/{id}", s.guard(s.renewSession))
-	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.guard(s.destroySession))
+	mux.HandleFunc("GET /v1/kv/{key...}", s.withFaults(s.getKeys))
+	mux.HandleFunc("PUT /v1/kv/{key...}", s.withFaults(s.putKey))
+	mux.HandleFunc("DELETE /v1/kv/{key...}", s.withFaults(s.deleteKey))
+	mux.HandleFunc("PUT /v1/session/create", s.withFaults(s.createSession))
+	mux.HandleFunc("PUT /v1/session/renew/{id}", s.withFaults(s.renewSession))
+	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.withFaults(s.destroySession))
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err := json.NewDecoder(r.Body).Decode(&s.faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
-		s.wake()
+		s.notifyWatchers()
 	})
 	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
@@ -102,16 +105,16 @@
 	return mux
 }
 
-// guard applies the faults of the moment.
-func (s *Store) guard(f http.HandlerFunc) http.HandlerFunc {
+// withFaults delays or fails a call according to the present faults.
+func (s *Store) withFaults(f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		fl := s.faults
+		injected := s.faults
 		s.mu.Unlock()
-		if fl.Delay > 0 {
-			time.Sleep(fl.Delay)
+		if injected.Delay > 0 {
+			time.Sleep(injected.Delay)
 		}
-		if fl.Down {
+		if injected.Down {
 			http.Error(w, "unavailable", http.StatusServiceUnavailable)
 			return
 		}
@@ -119,12 +122,15 @@
 	}
 }
 
-func (s *Store) wake() {
+// notifyWatchers wakes the blocking queries. s.mu is held.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
+// getKeys answers a read of a key or, with recurse, of a prefix. With an index it is a
+// blocking query, which returns when the index has passed the given one.
+func (s *Store) getKeys(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	q := r.URL.Query()
 	_, recurse := q["recurse"]
@@ -132,7 +138,7 @@
 	s.mu.Lock()
 	if after > 0 {
 		s.Watches++
-		s.block(r, key, after, q.Get("wait"))
+		s.waitForChange(r, key, after, q.Get("wait"))
 	} else {
 		s.Reads++
 	}
@@ -142,7 +148,7 @@
 			out = append(out, *p)
 		}
 	}
-	index, down := s.indexOf(key), s.faults.Down
+	index, down := s.prefixIndex(key), s.faults.Down
 	s.mu.Unlock()
 	if down {
 		http.Error(w, "unavailable", http.StatusServiceUnavailable)
@@ -158,9 +164,9 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// indexOf returns the index of the last change below a prefix. As in Consul, a
-// prefix without any has the store's own index.
-func (s *Store) indexOf(prefix string) uint64 {
+// prefixIndex returns the index of the last change of keys with a prefix. As in Consul,
+// it is the store's index if there was none. s.mu is held.
+func (s *Store) prefixIndex(prefix string) uint64 {
 	last := uint64(0)
 	for k, p := range s.pairs {
 		if strings.HasPrefix(k, prefix) {
@@ -178,16 +184,16 @@
 	return last
 }
 
-// block waits until the prefix's index passes after. mu is held before and
-// after.
-func (s *Store) block(r *http.Request, prefix string, after uint64, wait string) {
+// waitForChange waits until the prefix's index passes after, the store is down, the wait
+// has passed or the client is gone. s.mu is held before and after, but not while it waits.
+func (s *Store) waitForChange(r *http.Request, prefix string, after uint64, wait string) {
 	d, err := time.ParseDuration(wait)
 	if err != nil || d <= 0 || d > 10*time.Minute {
 		d = 5 * time.Minute
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
-	for s.indexOf(prefix) <= after && !s.faults.Down {
+	for s.prefixIndex(prefix) <= after && !s.faults.Down {
 		ch := s.changed
 		s.mu.Unlock()
 		select {
@@ -202,9 +208,9 @@
 	}
 }
 
-func (s *Store) put(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
-	if err != nil || len(b) > maxValue {
+func (s *Store) putKey(w http.ResponseWriter, r *http.Request) {
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxValueSize+1))
+	if err != nil || len(b) > maxValueSize {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -212,11 +218,13 @@
 	s.mu.Lock()
 	s.Writes++
 	ok := s.apply(key, q, b)
-	lose := s.takeLoss()
+	lose := s.consumeLostAnswer()
 	s.mu.Unlock()
-	s.answer(w, ok, lose)
+	s.respond(w, ok, lose)
 }
 
+// apply performs a write and reports whether its conditions (cas, acquire, release) held.
+// s.mu is held.
 func (s *Store) apply(key string, q map[string][]string, b []byte) bool {
 	s.expire()
 	old := s.pairs[key]
@@ -248,11 +256,11 @@
 		p.CreateIndex = old.CreateIndex
 	}
 	s.pairs[key] = p
-	s.wake()
+	s.notifyWatchers()
 	return true
 }
 
-func (s *Store) del(w http.ResponseWriter, r *http.Request) {
+func (s *Store) deleteKey(w http.ResponseWriter, r *http.Request) {
 	key, q := r.PathValue("key"), r.URL.Query()
 	s.mu.Lock()
 	s.Writes++
@@ -265,14 +273,16 @@
 		s.index++
 		delete(s.pairs, key)
 		s.deleted[key] = s.index
-		s.wake()
+		s.notifyWatchers()
 	}
-	lose := s.takeLoss()
+	lose := s.consumeLostAnswer()
 	s.mu.Unlock()
-	s.answer(w, ok, lose)
+	s.respond(w, ok, lose)
 }
 
-func (s *Store) takeLoss() bool {
+// consumeLostAnswer reports whether the answer of this write is to be lost, and if so
+// decrements the number of answers to lose. s.mu is held.
+func (s *Store) consumeLostAnswer() bool {
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
 		return true
@@ -280,8 +290,8 @@
 	return false
 }
 
-// answer sends the outcome of a write, or cuts the connection without one.
-func (s *Store) answer(w http.ResponseWriter, ok, lose bool) {
+// respond sends the outcome of a write, or closes the connection without an answer.
+func (s *Store) respond(w http.ResponseWriter, ok, lose bool) {
 	if lose {
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 			_ = c.Close()
--- a/internal/standin/platform/sessions.go
+++ b/internal/standin/platform/sessions.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// defaultTTL applies to sessions that are created without a valid TTL.
 const defaultTTL = 15 * time.Second
 
 func (s *Store) createSession(w http.ResponseWriter, r *http.Request) {
@@ -43,26 +44,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Writes++
-	s.end(r.PathValue("id"))
+	s.endSession(r.PathValue("id"))
 	_ = json.NewEncoder(w).Encode(true)
 }
 
-// expire ends sessions that were not renewed. mu is held.
+// expire ends the sessions that were not renewed in time. s.mu is held.
 func (s *Store) expire() {
 	for id, se := range s.sessions {
 		if time.Now().After(se.expires) {
-			s.end(id)
+			s.endSession(id)
 		}
 	}
 }
 
-func (s *Store) end(id string) {
+// endSession removes a session and releases its locks, which changes their keys' indexes.
+// s.mu is held.
+func (s *Store) endSession(id string) {
 	delete(s.sessions, id)
 	for _, p := range s.pairs {
 		if p.Session == id {
 			s.index++
 			p.Session, p.ModifyIndex = "", s.index
-			s.wake()
+			s.notifyWatchers()
 		}
 	}
 }
