--- a/internal/edgedemo/balancer.go
+++ b/internal/edgedemo/balancer.go
@@ -19,42 +19,43 @@
 const (
 	readyPort   = 17001
 	controlPort = 17002
-	// stopLimit is how long a planned stop may take: the grace period.
-	stopLimit = 5 * time.Second
-	// probeEvery is how often the fabric asks a balancer whether it is ready, and misses
-	// after how many refusals it looks for another one.
-	probeEvery = 250 * time.Millisecond
-	misses     = 2
+	// stopTimeout is the grace period of a planned stop.
+	stopTimeout = 5 * time.Second
+	// probeInterval is the interval between the fabric's readiness checks of a balancer,
+	// and maxMissedProbes the number of failed checks in a row after which the fabric
+	// uses another balancer.
+	probeInterval   = 250 * time.Millisecond
+	maxMissedProbes = 2
 )
 
 // balancer is a rosedale-edge process.
 type balancer struct {
-	addr   netip.Addr
-	centre string
-	boot   string // its settings file
-	log    *os.File
-	cmd    *exec.Cmd
-	ended  chan struct{} // closed when the process has ended
-	ready  atomic.Bool   // as the fabric sees it
-	done   chan struct{} // ends the fabric's questions
+	addr         netip.Addr
+	dataCenter   string
+	settingsFile string // path
+	log          *os.File
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has exited
+	ready        atomic.Bool   // according to the fabric's checks
+	stopProbe    chan struct{} // stops the fabric's checks
 }
 
-// startBalancer starts the i-th balancer.
+// startBalancer starts the i-th balancer's process and the fabric's checks of it.
 func startBalancer(d *deployment, i int) (*balancer, error) {
-	b := &balancer{addr: address(balancerNet, i), centre: centres[i%len(centres)], done: make(chan struct{})}
-	b.boot = filepath.Join(d.dir, b.addr.String()+".json")
+	b := &balancer{addr: address(balancerNet, i), dataCenter: dataCenters[i%len(dataCenters)], stopProbe: make(chan struct{})}
+	b.settingsFile = filepath.Join(d.dir, b.addr.String()+".json")
 	settings := direct.Settings{
-		VM: b.addr.String(), DataCenter: b.centre, Bootstrap: true, GraceS: stopLimit.Seconds(), Store: d.store.Addr,
+		VM: b.addr.String(), DataCenter: b.dataCenter, Bootstrap: true, GraceS: stopTimeout.Seconds(), Store: d.store.Addr,
 		Data: b.data(), Ready: netip.AddrPortFrom(b.addr, readyPort), Control: netip.AddrPortFrom(b.addr, controlPort),
 	}
-	for s := range len(centres) {
+	for s := range len(dataCenters) {
 		settings.Seeds = append(settings.Seeds, netip.AddrPortFrom(address(balancerNet, s), controlPort))
 	}
-	if err := settings.Write(b.boot); err != nil {
+	if err := settings.Write(b.settingsFile); err != nil {
 		return nil, errors.Wrap(err, "demo: settings")
 	}
 	var err error
-	if b.log, err = os.Create(b.boot + ".log"); err != nil {
+	if b.log, err = os.Create(b.settingsFile + ".log"); err != nil {
 		return nil, errors.Wrap(err, "demo: log")
 	}
 	go b.probe()
@@ -63,37 +64,38 @@
 
 func (b *balancer) data() netip.AddrPort { return netip.AddrPortFrom(b.addr, dataPort) }
 
-// start runs the program, which is beside this one.
+// start starts rosedale-edge from the folder of this program.
 func (b *balancer) start() error {
 	self, err := os.Executable()
 	if err != nil {
 		return errors.Wrap(err, "demo: own path")
 	}
 	cmd := exec.Command(filepath.Join(filepath.Dir(self), "rosedale-edge"))
-	cmd.Env = append(os.Environ(), platform.BootVariable+"="+b.boot)
+	cmd.Env = append(os.Environ(), platform.BootVariable+"="+b.settingsFile)
 	cmd.Stdout, cmd.Stderr = b.log, b.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return errors.Wrapf(err, "demo: balancer %s", b.addr)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // the process's state says more than the error
-		close(ended)
+		_ = cmd.Wait() // ProcessState holds more than the error
+		close(exited)
 	}()
-	b.cmd, b.ended = cmd, ended
+	b.cmd, b.exited = cmd, exited
 	return nil
 }
 
-// replace stops the balancer as planned and starts it again.
+// replace stops the balancer with SIGTERM and starts it again. It returns an error if
+// the balancer does not exit with code 0 within stopTimeout.
 func (b *balancer) replace() error {
 	if err := b.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return errors.Wrapf(err, "demo: stop of %s", b.addr)
 	}
 	select {
-	case <-b.ended:
-	case <-time.After(stopLimit):
-		return errors.Errorf("demo: balancer %s did not stop within %v", b.addr, stopLimit)
+	case <-b.exited:
+	case <-time.After(stopTimeout):
+		return errors.Errorf("demo: balancer %s did not stop within %v", b.addr, stopTimeout)
 	}
 	if code := b.cmd.ProcessState.ExitCode(); code != 0 {
 		return errors.Errorf("demo: balancer %s stopped with exit code %d", b.addr, code)
@@ -101,28 +103,28 @@
 	return b.start()
 }
 
-// crash kills the process and starts it again after a while.
-func (b *balancer) crash(away time.Duration) error {
+// crash kills the process and starts it again after the given time.
+func (b *balancer) crash(downtime time.Duration) error {
 	if err := b.cmd.Process.Kill(); err != nil {
 		return errors.Wrapf(err, "demo: kill of %s", b.addr)
 	}
-	<-b.ended
-	time.Sleep(away)
+	<-b.exited
+	time.Sleep(downtime)
 	return b.start()
 }
 
-// kill ends the process and the fabric's questions.
+// kill ends the process and the fabric's checks.
 func (b *balancer) kill() {
-	close(b.done)
-	_ = b.cmd.Process.Kill() // it may have ended
-	<-b.ended
+	close(b.stopProbe)
+	_ = b.cmd.Process.Kill() // it may have exited
+	<-b.exited
 	_ = b.log.Close()
 }
 
-// probe asks whether the balancer is ready, as the fabric does.
+// probe checks the balancer's readiness periodically, as the fabric does.
 func (b *balancer) probe() {
-	client := http.Client{Timeout: 2 * probeEvery}
-	for missed := misses; ; {
+	client := http.Client{Timeout: 2 * probeInterval}
+	for missed := maxMissedProbes; ; {
 		resp, err := client.Get("http://" + netip.AddrPortFrom(b.addr, readyPort).String() + platform.ReadyPath)
 		if err == nil {
 			_ = resp.Body.Close()
@@ -132,11 +134,11 @@
 		} else {
 			missed++
 		}
-		b.ready.Store(missed < misses)
+		b.ready.Store(missed < maxMissedProbes)
 		select {
-		case <-b.done:
+		case <-b.stopProbe:
 			return
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
--- a/internal/edgedemo/callers.go
+++ b/internal/edgedemo/callers.go
@@ -14,71 +14,72 @@
 )
 
 const (
-	callersPerCentre = 4
-	// tries is how often a caller asks for the same, each time on a new flow.
-	tries = 3
-	// answerLimit is how long it waits for an answer.
-	answerLimit = 2500 * time.Millisecond
-	// goal is the response time that counts as good.
-	goal = 500 * time.Millisecond
+	callersPerDataCenter = 4
+	// maxTries is how often a caller sends a request, each time on a new flow.
+	maxTries = 3
+	// answerTimeout is how long a caller waits for an answer.
+	answerTimeout = 2500 * time.Millisecond
+	// latencyGoal is the response time above which an answer counts as late.
+	latencyGoal = 500 * time.Millisecond
 )
 
-// callers ask without pause and count what they get.
+// callers send requests continuously and count the outcomes.
 type callers struct {
 	d    *deployment
 	stop chan struct{}
 	wg   sync.WaitGroup
 
-	mu     sync.Mutex
-	seen   counts
-	broken []string // promises, with the request
+	mu         sync.Mutex
+	current    counts
+	violations []string // descriptions of broken guarantees
 }
 
-// counts is what callers got in one step of the demo.
+// counts holds the outcomes of requests in one step of the demo.
 type counts struct {
-	asked, late, failed int
-	resets              int // of open flows
-	took                []time.Duration
+	requests, late, failed int
+	resets                 int // resets of open flows
+	latencies              []time.Duration
 }
 
 func startCallers(d *deployment) (*callers, error) {
 	c := &callers{d: d, stop: make(chan struct{})}
-	for i := range callersPerCentre * len(centres) {
+	for i := range callersPerDataCenter * len(dataCenters) {
 		from, err := direct.NewCaller(address(callerNet, i), dataPort)
 		if err != nil {
 			return nil, err
 		}
 		c.wg.Go(func() {
 			defer from.Close()
-			c.call(from, i)
+			c.generateLoad(from, i)
 		})
 	}
 	return c, nil
 }
 
-// end stops the callers.
-func (c *callers) end() {
+// stopAndWait stops the callers and waits until they have ended.
+func (c *callers) stopAndWait() {
 	close(c.stop)
 	c.wg.Wait()
 }
 
-// take returns the counts since the last call.
-func (c *callers) take() counts {
+// takeCounts returns the counts since the previous call.
+func (c *callers) takeCounts() counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.seen
-	c.seen = counts{}
+	out := c.current
+	c.current = counts{}
 	return out
 }
 
-func (c *callers) breach(format string, args ...any) {
+func (c *callers) recordViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// call asks on a flow that stays open for previews, and on one of its own for each note.
-func (c *callers) call(from *direct.Caller, id int) {
+// generateLoad sends requests until the callers stop: previews on a flow that stays
+// open, and each note on a new flow.
+func (c *callers) generateLoad(from *direct.Caller, id int) {
 	rng := rand.New(rand.NewPCG(uint64(id), 1))
 	var open *direct.Flow
 	for n := 0; ; n++ {
@@ -87,24 +88,24 @@
 			return
 		case <-time.After(time.Duration(rng.IntN(60)) * time.Millisecond):
 		}
-		via := func() netip.AddrPort { return c.d.near(centres[id%len(centres)], rng) }
+		via := func() netip.AddrPort { return c.d.pickBalancer(dataCenters[id%len(dataCenters)], rng) }
 		body := fmt.Sprintf("c%d-%d", id, n)
 		if rng.IntN(2) == 0 {
-			open = c.ask(from, via, previews, body, open)
+			open = c.request(from, via, previews, body, open)
 			continue
 		}
-		if fl := c.ask(from, via, notes, body, nil); fl != nil {
+		if fl := c.request(from, via, notes, body, nil); fl != nil {
 			fl.Close()
 		}
 	}
 }
 
-// near returns a balancer as the fabric chooses it: a ready one of the data centre, or
-// else any.
-func (d *deployment) near(centre string, rng *rand.Rand) netip.AddrPort {
+// pickBalancer returns the data address of a random balancer as the fabric chooses it:
+// one that is ready in the data centre, or any if there is none.
+func (d *deployment) pickBalancer(dataCenter string, rng *rand.Rand) netip.AddrPort {
 	var ready []*balancer
 	for _, b := range d.balancers {
-		if b.centre == centre && b.ready.Load() {
+		if b.dataCenter == dataCenter && b.ready.Load() {
 			ready = append(ready, b)
 		}
 	}
@@ -114,10 +115,12 @@
 	return ready[rng.IntN(len(ready))].data()
 }
 
-// ask sends a request, on fl if it is open, and returns the flow if it stays open.
-func (c *callers) ask(from *direct.Caller, via func() netip.AddrPort, to netip.AddrPort, body string, fl *direct.Flow) *direct.Flow {
+// request sends a request, on fl if it is not nil, and returns the flow on which it was
+// answered, or nil. A note is not sent again after an error on its flow, since it may have
+// run.
+func (c *callers) request(from *direct.Caller, via func() netip.AddrPort, to netip.AddrPort, body string, fl *direct.Flow) *direct.Flow {
 	began := time.Now()
-	for range tries {
+	for range maxTries {
 		var err error
 		if fl == nil {
 			if fl, err = from.Open(to, via()); err != nil {
@@ -125,48 +128,50 @@
 				continue
 			}
 		}
-		answer, err := fl.AskAnywhere(body, answerLimit, via)
+		answer, err := fl.AskAnywhere(body, answerTimeout, via)
 		if err == nil {
-			c.answered(to, body, answer, time.Since(began))
+			c.checkAnswer(to, body, answer, time.Since(began))
 			return fl
 		}
 		fl.Close()
 		fl = nil
-		c.lost(err)
+		c.countReset(err)
 		if to == notes {
 			break // it may have run
 		}
 	}
-	c.note(func(s *counts) { s.asked++; s.failed++ })
+	c.count(func(s *counts) { s.requests++; s.failed++ })
 	return nil
 }
 
-func (c *callers) note(add func(*counts)) {
+func (c *callers) count(add func(*counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	add(&c.seen)
+	add(&c.current)
 }
 
-func (c *callers) lost(err error) {
+// countReset counts an error if it is a reset.
+func (c *callers) countReset(err error) {
 	if errors.Is(err, direct.ErrReset) {
-		c.note(func(s *counts) { s.resets++ })
+		c.count(func(s *counts) { s.resets++ })
 	}
 }
 
-// answered checks that the answer is the request's own and of the right service.
-func (c *callers) answered(to netip.AddrPort, body, answer string, took time.Duration) {
+// checkAnswer records a violation if the answer belongs to another request or comes
+// from another service, and counts the answer.
+func (c *callers) checkAnswer(to netip.AddrPort, body, answer string, took time.Duration) {
 	got, name, _ := strings.Cut(answer, " by ")
 	if got != body {
-		c.breach("request %s got the answer of %s", body, got)
+		c.recordViolation("request %s got the answer of %s", body, got)
 	}
 	i := slices.IndexFunc(c.d.targets, func(t *target) bool { return t.Name() == name })
 	if i < 0 || c.d.targets[i].Reg.Service != serviceOf[to] {
-		c.breach("request %s to %v was answered by %s", body, to, name)
+		c.recordViolation("request %s to %v was answered by %s", body, to, name)
 	}
-	c.note(func(s *counts) {
-		s.asked++
-		s.took = append(s.took, took)
-		if took > goal {
+	c.count(func(s *counts) {
+		s.requests++
+		s.latencies = append(s.latencies, took)
+		if took > latencyGoal {
 			s.late++
 		}
 	})
--- a/internal/edgedemo/demo.go
+++ b/internal/edgedemo/demo.go
@@ -14,10 +14,11 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// Main runs the demo. It fails if any promise was broken.
+// Main runs the demo and prints its results. It returns an error if a guarantee was
+// broken.
 func Main(_ context.Context, args []string) error {
 	fs := flag.NewFlagSet("edge-demo", flag.ContinueOnError)
-	keep := fs.Bool("verbose", false, "keep the balancers' logs and say where they are")
+	keep := fs.Bool("verbose", false, "keep the balancers' logs and print their folder")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -30,7 +31,7 @@
 	} else {
 		defer func() { _ = os.RemoveAll(dir) }()
 	}
-	fmt.Printf("starting a store, %d balancers in %d data centres, targets and callers\n", perCentre*len(centres), len(centres))
+	fmt.Printf("starting a store, %d balancers in %d data centres, targets and callers\n", balancersPerDataCenter*len(dataCenters), len(dataCenters))
 	d, err := newDeployment(dir)
 	if err != nil {
 		return err
@@ -39,7 +40,7 @@
 	return run(d)
 }
 
-// run plays all steps and prints what callers got in each.
+// run executes all steps and prints the callers' counts in each.
 func run(d *deployment) error {
 	var ran direct.RunLog
 	for _, t := range d.targets {
@@ -50,49 +51,51 @@
 		return errors.Wrap(err, "demo: callers")
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "STEP\tASKED\tLATE\tFAILED\tFLOWS RESET\tP50\tP99") // written at the end
+	_, _ = fmt.Fprintln(w, "STEP\tASKED\tLATE\tFAILED\tFLOWS RESET\tP50\tP99") // written by Flush
 	for _, s := range steps {
 		began := time.Now()
-		if err := s.do(d); err != nil {
-			c.breach("%s: %v", s.name, err)
+		if err := s.action(d); err != nil {
+			c.recordViolation("%s: %v", s.name, err)
 		}
-		time.Sleep(max(stepLength-time.Since(began), settle))
-		got := c.take()
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%v\t%v\n", s.name, got.asked, got.late, got.failed, got.resets, got.share(0.5), got.share(0.99))
+		time.Sleep(max(stepLength-time.Since(began), settleTime))
+		got := c.takeCounts()
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%v\t%v\n", s.name, got.requests, got.late, got.failed, got.resets, got.percentile(0.5), got.percentile(0.99))
 		if s.planned && got.resets > 0 {
-			c.breach("%s: %d open flows were reset by planned work", s.name, got.resets)
+			c.recordViolation("%s: %d open flows were reset by planned work", s.name, got.resets)
 		}
 	}
-	c.end()
+	c.stopAndWait()
 	for body, at := range ran.Repeated() {
-		c.breach("request %s ran %d times: %v", body, len(at), at)
+		c.recordViolation("request %s ran %d times: %v", body, len(at), at)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "demo: table")
 	}
-	if len(c.broken) > 0 {
-		return errors.Errorf("broken promises: %v", c.broken)
+	if len(c.violations) > 0 {
+		return errors.Errorf("broken promises: %v", c.violations)
 	}
 	fmt.Println("every promise was kept")
 	return nil
 }
 
-// share returns the response time that a part of the answers kept.
-func (c counts) share(part float64) time.Duration {
-	if len(c.took) == 0 {
+// percentile returns the response time within which the given fraction of answers
+// came, rounded to 0.1 ms. It returns 0 if there are none.
+func (c counts) percentile(fraction float64) time.Duration {
+	if len(c.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(c.took)
-	return c.took[int(part*float64(len(c.took)-1))].Round(100 * time.Microsecond)
+	slices.Sort(c.latencies)
+	return c.latencies[int(fraction*float64(len(c.latencies)-1))].Round(100 * time.Microsecond)
 }
 
-// answers reports whether a balancer serves an address.
-func answers(from *direct.Caller, b *balancer) error {
+// checkRoute returns an error if a balancer does not serve the route that the demo
+// adds.
+func checkRoute(from *direct.Caller, b *balancer) error {
 	fl, err := from.Open(added, b.data())
 	if err != nil {
 		return errors.Wrapf(err, "demo: the new route at %s", b.addr)
 	}
 	defer fl.Close()
-	_, err = fl.Ask("edit at "+b.addr.String(), answerLimit)
+	_, err = fl.Ask("edit at "+b.addr.String(), answerTimeout)
 	return errors.Wrapf(err, "demo: the new route at %s", b.addr)
 }
--- a/internal/edgedemo/deployment.go
+++ b/internal/edgedemo/deployment.go
@@ -1,6 +1,6 @@
-// Package edgedemo shows rosedale-edge at work: several of them as processes, with
-// stand-ins of the platform's store, targets and callers on loopback, while balancers are
-// replaced and killed, a target goes dark, a route is edited and a data centre evacuated.
+// Package edgedemo demonstrates several rosedale-edge processes with stand-ins for the
+// platform's store, targets and callers on loopback. Meanwhile balancers are replaced and
+// killed, a target becomes unreachable, a route is added and a data centre is evacuated.
 package edgedemo
 
 import (
@@ -15,25 +15,25 @@
 
 // Size of the deployment.
 const (
-	perCentre  = 2 // balancers of a data centre
-	perService = 2 // targets of a service and data centre
-	dataPort   = 18600
-	startLimit = 10 * time.Second
+	balancersPerDataCenter = 2 // balancers in each data centre
+	targetsPerService      = 2 // targets of each service in each data centre
+	dataPort               = 18600
+	startTimeout           = 10 * time.Second
 )
 
-var centres = []string{"vault-a", "scan-hall", "annex-b"}
+var dataCenters = []string{"vault-a", "scan-hall", "annex-b"}
 
 // Service addresses that callers connect to.
 var (
-	previews = netip.MustParseAddrPort("198.18.0.1:443") // may run again
-	notes    = netip.MustParseAddrPort("198.18.0.2:443") // must run once at most
-	added    = netip.MustParseAddrPort("198.18.0.3:443") // the demo's edit
+	previews = netip.MustParseAddrPort("198.18.0.1:443") // idempotent: a request may run more than once
+	notes    = netip.MustParseAddrPort("198.18.0.2:443") // a request must run at most once
+	added    = netip.MustParseAddrPort("198.18.0.3:443") // added by the demo's catalogue edit
 )
 
-// serviceOf names the service behind an address.
+// serviceOf maps a service address to its service's name.
 var serviceOf = map[netip.AddrPort]string{previews: "catalogue", notes: "scan-store", added: "catalogue"}
 
-// deployment is a store, targets and balancers.
+// deployment holds the store, targets and balancers of a demo.
 type deployment struct {
 	store     *direct.Store
 	targets   []*target
@@ -42,20 +42,21 @@
 	version   int
 }
 
-// target is a stand-in target and where it is.
+// target is a stand-in target with its data centre.
 type target struct {
 	*direct.Target
-	centre string
+	dataCenter string
 }
 
-// Roles of addresses.
+// Roles of addresses, which determine their third byte.
 const (
 	balancerNet = iota
 	callerNet
 	targetNet
 )
 
-// address returns the i-th address of a role. Two demos at once have others.
+// address returns the i-th address of a role. The second byte depends on the process,
+// so that demos that run at the same time use different addresses.
 func address(role, i int) netip.Addr {
 	const nets, least = 200, 30
 	return netip.AddrFrom4([4]byte{127, byte(least + os.Getpid()%nets), byte(200 + role), byte(i + 1)})
@@ -67,13 +68,13 @@
 	if d.store, err = direct.NewStore(); err != nil {
 		return nil, errors.Wrap(err, "demo: store")
 	}
-	d.edit(previews, notes)
-	for _, c := range centres {
+	d.writeCatalogue(previews, notes)
+	for _, c := range dataCenters {
 		if err := d.addTargets(c); err != nil {
 			return nil, err
 		}
 	}
-	for i := range perCentre * len(centres) {
+	for i := range balancersPerDataCenter * len(dataCenters) {
 		b, err := startBalancer(d, i)
 		if err != nil {
 			return nil, err
@@ -83,24 +84,24 @@
 	return d, d.waitReady()
 }
 
-func (d *deployment) addTargets(centre string) error {
+func (d *deployment) addTargets(dataCenter string) error {
 	for _, service := range []string{"catalogue", "scan-store"} {
-		for range perService {
+		for range targetsPerService {
 			n := len(d.targets)
 			at := netip.AddrPortFrom(address(targetNet, n), 8080)
-			t, err := direct.NewTarget(d.store, uint64(0xc000000001+n), at.String(), service, centre, dataPort)
+			t, err := direct.NewTarget(d.store, uint64(0xc000000001+n), at.String(), service, dataCenter, dataPort)
 			if err != nil {
 				return errors.Wrapf(err, "demo: target %d", n)
 			}
 			t.SetWork(20 * time.Millisecond)
-			d.targets = append(d.targets, &target{t, centre})
+			d.targets = append(d.targets, &target{t, dataCenter})
 		}
 	}
 	return nil
 }
 
-// edit writes a version of the catalogue with routes for some addresses.
-func (d *deployment) edit(addresses ...netip.AddrPort) {
+// writeCatalogue writes a version of the catalogue with routes for some addresses.
+func (d *deployment) writeCatalogue(addresses ...netip.AddrPort) {
 	d.version++
 	var routes []direct.Route
 	for _, a := range addresses {
@@ -109,11 +110,11 @@
 	d.store.PutCatalogue(d.version, routes...)
 }
 
-// opened returns how many flows the targets of a data centre have taken.
-func (d *deployment) opened(centre string) int64 {
+// openedFlows returns how many flows the targets of a data centre have taken.
+func (d *deployment) openedFlows(dataCenter string) int64 {
 	var n int64
 	for _, t := range d.targets {
-		if t.centre == centre {
+		if t.dataCenter == dataCenter {
 			n += t.Opened.Load()
 		}
 	}
@@ -121,11 +122,11 @@
 }
 
 func (d *deployment) waitReady() error {
-	end := time.Now().Add(startLimit)
+	end := time.Now().Add(startTimeout)
 	for _, b := range d.balancers {
 		for !b.ready.Load() {
 			if time.Now().After(end) {
-				return errors.Errorf("demo: balancer %s is not ready within %v", b.addr, startLimit)
+				return errors.Errorf("demo: balancer %s is not ready within %v", b.addr, startTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// close ends all that the demo started.
+// close stops the balancers, targets and store.
 func (d *deployment) close() {
 	for _, b := range d.balancers {
 		b.kill()
--- a/internal/edgedemo/steps.go
+++ b/internal/edgedemo/steps.go
@@ -10,30 +10,33 @@
 )
 
 const (
+	// stepLength is the least duration of a step, and settleTime the least time between
+	// the end of its action and the next step.
 	stepLength = 6 * time.Second
-	settle     = time.Second
-	// inForce is within what time every balancer has to know what an operator wrote.
-	inForce = 3 * time.Second
+	settleTime = time.Second
+	// propagationLimit is the time within which every balancer must apply what an operator
+	// wrote.
+	propagationLimit = 3 * time.Second
 )
 
-// step is one thing that happens while callers ask.
+// step is one event of the demo, during which callers send requests.
 type step struct {
 	name    string
-	planned bool // no open flow may end by it
-	do      func(*deployment) error
+	planned bool // it must not reset any open flow
+	action  func(*deployment) error
 }
 
 var steps = []step{
 	{"nothing", true, func(*deployment) error { return nil }},
-	{"replace all balancers", true, replaceAll},
+	{"replace all balancers", true, replaceAllBalancers},
 	{"edit the catalogue", true, editCatalogue},
 	{"evacuate a data centre", true, evacuate},
-	{"take it back", true, takeBack},
+	{"take it back", true, endEvacuation},
 	{"kill a balancer", false, func(d *deployment) error { return d.balancers[1].crash(time.Second) }},
-	{"a target goes dark", false, darken},
+	{"a target goes dark", false, silenceTarget},
 }
 
-func replaceAll(d *deployment) error {
+func replaceAllBalancers(d *deployment) error {
 	for _, b := range d.balancers {
 		if err := b.replace(); err != nil {
 			return err
@@ -45,51 +48,55 @@
 	return nil
 }
 
-// editCatalogue adds a route, which every balancer has to serve soon.
+// editCatalogue adds a route and checks that every balancer serves it after
+// propagationLimit.
 func editCatalogue(d *deployment) error {
-	d.edit(previews, notes, added)
-	time.Sleep(inForce)
-	from, err := direct.NewCaller(address(callerNet, callersPerCentre*len(centres)), dataPort)
+	d.writeCatalogue(previews, notes, added)
+	time.Sleep(propagationLimit)
+	from, err := direct.NewCaller(address(callerNet, callersPerDataCenter*len(dataCenters)), dataPort)
 	if err != nil {
 		return errors.Wrap(err, "demo: caller")
 	}
 	defer from.Close()
 	for _, b := range d.balancers {
-		if err := answers(from, b); err != nil {
+		if err := checkRoute(from, b); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// evacuate asks that a data centre gets no new flows, and sees to it that it gets none.
+// evacuate marks a data centre as evacuated and checks that its targets get no new flows
+// after propagationLimit.
 func evacuate(d *deployment) error {
-	d.store.Put(platform.EvacuationPrefix+centres[0], map[string]any{})
-	time.Sleep(inForce)
-	before := d.opened(centres[0])
-	time.Sleep(settle)
-	if n := d.opened(centres[0]) - before; n > 0 {
+	d.store.Put(platform.EvacuationPrefix+dataCenters[0], map[string]any{})
+	time.Sleep(propagationLimit)
+	before := d.openedFlows(dataCenters[0])
+	time.Sleep(settleTime)
+	if n := d.openedFlows(dataCenters[0]) - before; n > 0 {
 		return errors.Errorf("%d flows were opened in the evacuated data centre", n)
 	}
 	return nil
 }
 
-func takeBack(d *deployment) error {
-	d.store.Remove(platform.EvacuationPrefix + centres[0])
-	before := d.opened(centres[0])
-	time.Sleep(inForce)
-	if d.opened(centres[0]) == before {
+// endEvacuation removes the mark and checks that the data centre's targets get new flows
+// again.
+func endEvacuation(d *deployment) error {
+	d.store.Remove(platform.EvacuationPrefix + dataCenters[0])
+	before := d.openedFlows(dataCenters[0])
+	time.Sleep(propagationLimit)
+	if d.openedFlows(dataCenters[0]) == before {
 		return errors.New("no flow was opened in the data centre that was taken back")
 	}
 	return nil
 }
 
-// darken has a target answer nothing any more, as if it had lost power. Its registration
-// runs out a few seconds later.
-func darken(d *deployment) error {
+// silenceTarget stops a target from answering, as if it had lost power. Its registration
+// is removed after propagationLimit, as if it had expired.
+func silenceTarget(d *deployment) error {
 	t := d.targets[0]
 	t.Silence()
-	time.Sleep(inForce)
+	time.Sleep(propagationLimit)
 	d.store.Remove(platform.TargetPrefix + t.Name())
 	return nil
 }
