--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -16,7 +16,7 @@
 	d.t.Helper()
 	d.store.FailAll(direct.Busy)
 	time.Sleep(500 * time.Millisecond)
-	d.store.ComeBack(b)
+	d.store.Restore(b)
 	d.store.Put(platform.CatalogueKey, catalogue)
 	for _, x := range d.targets {
 		x.Register()
--- a/internal/edge/settle_test.go
+++ b/internal/edge/settle_test.go
@@ -18,7 +18,7 @@
 // loseSince has the store come back without what was written since a copy, and waits.
 func (d *deployment) loseSince(b direct.Backup) {
 	d.t.Helper()
-	d.store.ComeBack(b)
+	d.store.Restore(b)
 	time.Sleep(longUnsettled)
 }
 
@@ -107,7 +107,7 @@
 	}
 	d.eventually(5*time.Second, "all are registered", func() bool { return len(d.store.Keys(platform.MemberPrefix)) == 3 })
 	d.acquainted()
-	d.store.ComeBack(backup)
+	d.store.Restore(backup)
 	d.eventually(3*time.Second, "all are registered again", func() bool { return len(d.store.Keys(platform.MemberPrefix)) == 3 })
 }
 
@@ -119,7 +119,7 @@
 	backup := d.store.Backup()
 	x := d.addTarget(0xa000000009, "catalogue")
 	d.eventually(2*time.Second, "the target is known", func() bool { return d.knows(x, "") })
-	d.store.ComeBack(backup)
+	d.store.Restore(backup)
 	b := d.balancers[0]
 	d.eventually(2*time.Second, "the store's return is logged", func() bool { return len(b.lines(t, "store came back from an older copy")) > 0 })
 	if len(b.lines(t, "target gone")) > 0 {
--- a/internal/standin/direct/backup.go
+++ b/internal/standin/direct/backup.go
@@ -23,10 +23,10 @@
 	return Backup{maps.Clone(s.items), slices.Clone(s.events), s.rev, s.compacted, maps.Clone(s.leases), s.lastLease}
 }
 
-// ComeBack restores the store from an earlier backup. Later writes are lost, the
+// Restore restores the store from an earlier backup. Later writes are lost, the
 // revisions and lease identifiers assigned since are assigned again, and a new era
 // begins.
-func (s *Store) ComeBack(b Backup) {
+func (s *Store) Restore(b Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.items, s.events, s.rev, s.compacted = maps.Clone(b.items), slices.Clone(b.events), b.rev, b.compacted
--- a/test/soak/era_test.go
+++ b/test/soak/era_test.go
@@ -44,7 +44,7 @@
 	time.Sleep(time.Duration(r.IntN(1500)) * time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.store.ComeBack(b)
+	w.store.Restore(b)
 	w.store.FailAll(direct.Healthy)
 	w.again(r, w.putCatalogue)
 	w.again(r, w.putEvacuation)
