--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -79,7 +79,7 @@
 	d.store.FailAll(direct.Busy)
 	time.Sleep(time.Second)
 	d.store.Put(platform.CatalogueKey, desired(7, scans, newRoute))
-	d.store.Forget()
+	d.store.DropHistory()
 	d.store.FailAll(direct.Healthy)
 	for i, b := range d.balancers {
 		d.eventually(3*time.Second, fmt.Sprintf("balancer %d has the new route", i), func() bool {
--- a/internal/standin/direct/store.go
+++ b/internal/standin/direct/store.go
@@ -142,9 +142,9 @@
 	return n
 }
 
-// Forget drops the change history, so that watches from an earlier revision are
+// DropHistory drops the change history, so that watches from an earlier revision are
 // answered with 410.
-func (s *Store) Forget() {
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
