--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -17,9 +17,9 @@
 // Caller is a stand-in caller. It opens flows from one address, each from a port of
 // its own.
 type Caller struct {
-	// Late decides whether a further copy of an opening is sent (ok), how long after it
+	// LateCopy decides whether a further copy of an opening is sent (ok), how long after it
 	// and through which balancer. If it is nil, none is sent.
-	Late func() (after time.Duration, via netip.AddrPort, ok bool)
+	LateCopy func() (after time.Duration, via netip.AddrPort, ok bool)
 
 	addr netip.Addr
 	udp  *net.UDPConn
@@ -120,10 +120,10 @@
 // sendLateCopy sends a further copy of an opening later, if the caller's Late asks for
 // one.
 func (fl *Flow) sendLateCopy(opening header) {
-	if fl.c.Late == nil {
+	if fl.c.LateCopy == nil {
 		return
 	}
-	if after, via, ok := fl.c.Late(); ok {
+	if after, via, ok := fl.c.LateCopy(); ok {
 		time.AfterFunc(after, func() { fl.sendVia(via, 0, opening, nil) })
 	}
 }
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -26,7 +26,7 @@
 		return
 	}
 	defer c.Close()
-	c.Late = w.lateCopies(late)
+	c.LateCopy = w.lateCopies(late)
 	for n := 0; !w.stopping.Load(); n++ {
 		to := []netip.AddrPort{previews, notes}[rng.IntN(2)]
 		fl, err := c.Open(to, w.balancer(rng))
