--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -137,8 +137,8 @@
 // Local returns the flow's address and port at the caller.
 func (fl *Flow) Local() netip.AddrPort { return netip.AddrPortFrom(fl.c.addr, fl.port) }
 
-// Peer returns the target's initial sequence number on the flow.
-func (fl *Flow) Peer() uint32 { return fl.targetISN }
+// TargetISN returns the target's initial sequence number on the flow.
+func (fl *Flow) TargetISN() uint32 { return fl.targetISN }
 
 // Cookie returns the flow's cookie, by which its target and the balancers identify it.
 func (fl *Flow) Cookie() uint32 { return fl.echo }
