--- a/internal/edgedemo/callers.go
+++ b/internal/edgedemo/callers.go
@@ -128,7 +128,7 @@
 				continue
 			}
 		}
-		answer, err := fl.AskAnywhere(body, answerTimeout, via)
+		answer, err := fl.AskVia(body, answerTimeout, via)
 		if err == nil {
 			c.checkAnswer(to, body, answer, time.Since(began))
 			return fl
--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -131,7 +131,7 @@
 // Ask sends a request and returns its answer. It retransmits the request with
 // increasing intervals until the timeout, and then returns ErrTimeout.
 func (fl *Flow) Ask(body string, timeout time.Duration) (string, error) {
-	return fl.AskAnywhere(body, timeout, func() netip.AddrPort { return fl.Via })
+	return fl.AskVia(body, timeout, func() netip.AddrPort { return fl.Via })
 }
 
 // Local returns the flow's address and port at the caller.
@@ -143,9 +143,9 @@
 // Cookie returns the flow's cookie, by which its target and the balancers identify it.
 func (fl *Flow) Cookie() uint32 { return fl.echo }
 
-// AskAnywhere is like Ask, but via chooses a balancer for each retransmission, as the
+// AskVia is like Ask, but via chooses a balancer for each retransmission, as the
 // fabric may.
-func (fl *Flow) AskAnywhere(body string, timeout time.Duration, via func() netip.AddrPort) (string, error) {
+func (fl *Flow) AskVia(body string, timeout time.Duration, via func() netip.AddrPort) (string, error) {
 	end := time.Now().Add(timeout)
 	for wait := 200 * time.Millisecond; ; wait *= 2 {
 		fl.Via = via()
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -65,7 +65,7 @@
 	w.asked.Add(1)
 	w.callerOf.Store(body, fl.Local())
 	fl.Via = w.balancer(rng)
-	answer, err := fl.AskAnywhere(body, 4*time.Second, func() netip.AddrPort { return w.balancer(rng) })
+	answer, err := fl.AskVia(body, 4*time.Second, func() netip.AddrPort { return w.balancer(rng) })
 	if err != nil {
 		w.lost.Add(1)
 		w.mayEnd(fl, err, body)
