--- a/internal/standin/direct/target.go
+++ b/internal/standin/direct/target.go
@@ -201,9 +201,9 @@
 	t.send(h, header{seq: fl.isn, ack: h.seq + 1, syn: true, hasAck: true}, nil)
 }
 
-// Holds reports whether the target is running and a flow with this initial sequence
+// OpenedInThisStart reports whether the target is running and a flow with this initial sequence
 // number of the target was opened in its present start, not in an earlier one.
-func (t *Target) Holds(initial uint32) bool {
+func (t *Target) OpenedInThisStart(initial uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.flows != nil && isFromStart(t.start, initial)
--- a/internal/standin/direct/target_test.go
+++ b/internal/standin/direct/target_test.go
@@ -88,7 +88,7 @@
 	if err := x.Restart(2); err != nil {
 		t.Fatal(err)
 	}
-	if x.Holds(accept.seq) {
+	if x.OpenedInThisStart(accept.seq) {
 		t.Error("the restarted target reports a flow of its previous start as its own")
 	}
 	if again, _ := x.exchange(opening, ""); again.seq == accept.seq {
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -87,7 +87,7 @@
 	if !errors.Is(err, direct.ErrReset) {
 		return
 	}
-	if x := w.holder(fl); x != nil && !x.ended.Load() && x.Holds(fl.TargetISN()) {
+	if x := w.holder(fl); x != nil && !x.ended.Load() && x.OpenedInThisStart(fl.TargetISN()) {
 		w.t.Errorf("flow of request %s was reset while the start of its target %s that holds it lives", body, x.Name())
 		w.trace(fl.Local())
 	}
