--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -44,7 +44,7 @@
 	if !fl.IsReset(2 * time.Second) {
 		t.Error("the idle flow was not reset")
 	}
-	if n := x.Foreign.Load(); n != 0 {
+	if n := x.UnknownFlowPackets.Load(); n != 0 {
 		t.Errorf("%d packets of older flows reached the new start", n)
 	}
 	d.eventually(2*time.Second, "the restarted target is used", func() bool {
--- a/internal/standin/direct/target.go
+++ b/internal/standin/direct/target.go
@@ -28,11 +28,11 @@
 // Target is a stand-in target. It answers each request with the request's body and
 // its own name.
 type Target struct {
-	ID      uint64
-	Reg     Registration
-	Opened  atomic.Int64 // openings answered, copies included
-	Ran     atomic.Int64 // requests executed
-	Foreign atomic.Int64 // packets of unknown flows, which it answers with a reset
+	ID                 uint64
+	Reg                Registration
+	Opened             atomic.Int64 // openings answered, copies included
+	Ran                atomic.Int64 // requests executed
+	UnknownFlowPackets atomic.Int64 // packets of unknown flows, which it answers with a reset
 	// Log records each execution of a request; nil disables it.
 	Log      *RunLog
 	silent   atomic.Bool
@@ -175,7 +175,7 @@
 	case h.rst:
 		delete(t.flows, key)
 	case fl == nil || !fl.accepts(h):
-		t.Foreign.Add(1)
+		t.UnknownFlowPackets.Add(1)
 		t.send(h, header{seq: h.ack, rst: true}, nil)
 	case h.fin:
 		delete(t.flows, key)
