--- a/internal/edgedemo/deployment.go
+++ b/internal/edgedemo/deployment.go
@@ -105,7 +105,7 @@
 	d.version++
 	var routes []direct.Route
 	for _, a := range addresses {
-		routes = append(routes, direct.Route{Address: a, Service: serviceOf[a], Once: a == notes})
+		routes = append(routes, direct.Route{Address: a, Service: serviceOf[a], AtMostOnce: a == notes})
 	}
 	d.store.PutCatalogue(d.version, routes...)
 }
--- a/internal/standin/direct/catalogue.go
+++ b/internal/standin/direct/catalogue.go
@@ -8,9 +8,9 @@
 
 // Route is a route of the catalogue.
 type Route struct {
-	Address netip.AddrPort
-	Service string
-	Once    bool // its requests must run at most once
+	Address    netip.AddrPort
+	Service    string
+	AtMostOnce bool // its requests must run at most once
 }
 
 // PutCatalogue writes a version of the catalogue to the store, as an operator does.
@@ -19,7 +19,7 @@
 	var names []string
 	for _, r := range routes {
 		kind := "safe"
-		if r.Once {
+		if r.AtMostOnce {
 			kind = "unsafe"
 		}
 		routeEntries = append(routeEntries, map[string]any{"name": r.Address.String(), "host": r.Address.Addr(), "prefix": fmt.Sprintf("/%d/", r.Address.Port()),
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -215,7 +215,7 @@
 
 // putCatalogue writes the desired state.
 func (w *world) putCatalogue() {
-	routes := []direct.Route{{Address: previews, Service: "catalogue"}, {Address: notes, Service: "scan-store", Once: true}}
+	routes := []direct.Route{{Address: previews, Service: "catalogue"}, {Address: notes, Service: "scan-store", AtMostOnce: true}}
 	if w.extra {
 		routes = append(routes, direct.Route{Address: extra, Service: "catalogue"})
 	}
