--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -53,7 +53,7 @@
 	add(c.Crossed, "answers to another caller")
 	add(c.RunTwice, "requests run twice: "+strings.Join(c.Twice, "; "))
 	add(c.RefusedButRun, "requests refused but run")
-	add(c.LostAnswers, "requests answered but not run")
+	add(c.AnsweredNotRun, "requests answered but not run")
 	if planned {
 		add(c.StreamsBroken, "streams broken")
 		add(c.Broken, "requests broken")
--- a/internal/standin/caller/result.go
+++ b/internal/standin/caller/result.go
@@ -27,16 +27,16 @@
 	TimedOut      int `json:"timedOut"`
 	RunTwice      int `json:"runTwice"` // executed more than once
 	// Twice lists where the first of them were executed, at most maxTwice.
-	Twice         []string       `json:"twice,omitempty"`
-	RefusedButRun int            `json:"refusedButRun"`
-	LostAnswers   int            `json:"answeredNotRun"` // answered though no target reports a run
-	P50           float64        `json:"p50"`
-	P99           float64        `json:"p99"`
-	OpenP50       float64        `json:"openP50"`
-	OpenP99       float64        `json:"openP99"`
-	RefusedP50    float64        `json:"refusedP50"` // time until the refusal
-	RefusedP99    float64        `json:"refusedP99"`
-	Errors        map[string]int `json:"errors,omitempty"`
+	Twice          []string       `json:"twice,omitempty"`
+	RefusedButRun  int            `json:"refusedButRun"`
+	AnsweredNotRun int            `json:"answeredNotRun"` // answered though no target reports a run
+	P50            float64        `json:"p50"`
+	P99            float64        `json:"p99"`
+	OpenP50        float64        `json:"openP50"`
+	OpenP99        float64        `json:"openP99"`
+	RefusedP50     float64        `json:"refusedP50"` // time until the refusal
+	RefusedP99     float64        `json:"refusedP99"`
+	Errors         map[string]int `json:"errors,omitempty"`
 	// Cut lists the first flows that broke, at most maxCut.
 	Cut []Cut `json:"cut,omitempty"`
 }
@@ -134,7 +134,7 @@
 		case o == refused && n > 0:
 			r.res.RefusedButRun++
 		case o == answered && n == 0:
-			r.res.LostAnswers++
+			r.res.AnsweredNotRun++
 		}
 	}
 	r.res.P50, r.res.P99 = percentiles(r.latencies)
