--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -149,7 +149,7 @@
 	if err := b.SetStore(platform.Faults{Down: true}); err != nil {
 		return err
 	}
-	if err := b.SetProxy(faultproxy.Faults{Loss: 0.01, Reorder: 0.05, Hold: 20}); err != nil {
+	if err := b.SetProxy(faultproxy.Faults{Loss: 0.01, Reorder: 0.05, ReorderDelay: 20}); err != nil {
 		return err
 	}
 	b.Balancers[3].Process.Kill()
@@ -166,7 +166,7 @@
 // lossy loses, doubles, delays and reorders between balancers and in the
 // fabric, and edits the catalogue meanwhile.
 func lossy(b *testbed.Bed, o *Outcome) error {
-	f := faultproxy.Faults{Loss: 0.02, Dup: 0.02, Reorder: 0.05, Hold: 20, Delay: 1}
+	f := faultproxy.Faults{Loss: 0.02, Dup: 0.02, Reorder: 0.05, ReorderDelay: 20, Delay: 1}
 	if err := b.SetProxy(f); err != nil {
 		return err
 	}
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -40,12 +40,12 @@
 
 // Faults holds the faults that apply to all links. Probabilities are from 0 to 1.
 type Faults struct {
-	Loss    float64  `json:"loss"`    // probability that a datagram is dropped
-	Dup     float64  `json:"dup"`     // probability that a datagram is sent twice
-	Reorder float64  `json:"reorder"` // probability that a datagram is delayed further, by holdMs
-	Delay   int      `json:"delayMs"` // of each datagram, in ms
-	Hold    int      `json:"holdMs"`  // further delay of reordered datagrams, in ms
-	Cut     []string `json:"cut"`     // data centres that are isolated from all others
+	Loss         float64  `json:"loss"`    // probability that a datagram is dropped
+	Dup          float64  `json:"dup"`     // probability that a datagram is sent twice
+	Reorder      float64  `json:"reorder"` // probability that a datagram is delayed further, by holdMs
+	Delay        int      `json:"delayMs"` // of each datagram, in ms
+	ReorderDelay int      `json:"holdMs"`  // further delay of reordered datagrams, in ms
+	Cut          []string `json:"cut"`     // data centres that are isolated from all others
 	// Platform lists the data centres that are cut off from the platform.
 	Platform []string `json:"platform"`
 }
@@ -146,7 +146,7 @@
 	}
 	delay := time.Duration(f.Delay) * time.Millisecond
 	if rand.Float64() < f.Reorder {
-		delay += time.Duration(f.Hold) * time.Millisecond
+		delay += time.Duration(f.ReorderDelay) * time.Millisecond
 	}
 	for range n {
 		if delay == 0 {
