--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -17,8 +17,8 @@
 // Caller is a stand-in caller. It opens flows from one address, each from a port of
 // its own.
 type Caller struct {
-	// LateCopy decides whether a further copy of an opening is sent (ok), how long after it
-	// and through which balancer. If it is nil, none is sent.
+	// LateCopy decides whether a further copy of an opening is sent (ok), how long after
+	// it and through which balancer. If it is nil, none is sent.
 	LateCopy func() (after time.Duration, via netip.AddrPort, ok bool)
 
 	addr netip.Addr
@@ -117,8 +117,8 @@
 	return nil, ErrTimeout
 }
 
-// sendLateCopy sends a further copy of an opening later, if the caller's Late asks for
-// one.
+// sendLateCopy sends a further copy of an opening later, if the caller's LateCopy
+// asks for one.
 func (fl *Flow) sendLateCopy(opening header) {
 	if fl.c.LateCopy == nil {
 		return
--- a/internal/standin/direct/target.go
+++ b/internal/standin/direct/target.go
@@ -201,8 +201,8 @@
 	t.send(h, header{seq: fl.isn, ack: h.seq + 1, syn: true, hasAck: true}, nil)
 }
 
-// OpenedInThisStart reports whether the target is running and a flow with this initial sequence
-// number of the target was opened in its present start, not in an earlier one.
+// OpenedInThisStart reports whether the target is running and a flow with this initial
+// sequence number of the target was opened in its present start, not in an earlier one.
 func (t *Target) OpenedInThisStart(initial uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -42,7 +42,7 @@
 type Faults struct {
 	Loss         float64  `json:"loss"`    // probability that a datagram is dropped
 	Dup          float64  `json:"dup"`     // probability that a datagram is sent twice
-	Reorder      float64  `json:"reorder"` // probability that a datagram is delayed further, by holdMs
+	Reorder      float64  `json:"reorder"` // probability of a further delay of ReorderDelay
 	Delay        int      `json:"delayMs"` // of each datagram, in ms
 	ReorderDelay int      `json:"holdMs"`  // further delay of reordered datagrams, in ms
 	Cut          []string `json:"cut"`     // data centres that are isolated from all others
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -68,7 +68,7 @@
 // Main serves a store until ctx ends.
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("platform", flag.ContinueOnError)
-	listen := fs.String("listen", "127.0.9.3:8500", "address")
+	listen := fs.String("listen", "127.0.9.3:8500", "address of the HTTP API")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -25,7 +25,7 @@
 	nonce := r.URL.Query().Get("nonce")
 	gap, err := time.ParseDuration(r.URL.Query().Get("gap"))
 	if err != nil || gap <= 0 || gap > maxFrameGap {
-		http.Error(w, "gap", http.StatusBadRequest)
+		http.Error(w, "invalid gap", http.StatusBadRequest)
 		return
 	}
 	c := connectionOf(r)
@@ -56,7 +56,7 @@
 	q := r.URL.Query()
 	work, err := strconv.Atoi(q.Get("work"))
 	if err != nil {
-		http.Error(w, "work", http.StatusBadRequest)
+		http.Error(w, "invalid work", http.StatusBadRequest)
 		return
 	}
 	e.rec.recordRun(e, q.Get("id"), connectionOf(r))
