--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -9,9 +9,11 @@
 
 const (
 	// SmallFleet is the largest number of balancers among which each sends
-	// heartbeats to every other. In larger fleets only the relays of a data
-	// centre exchange heartbeats with other data centres: each of 7 balancers
-	// handles 60 heartbeats a second, each of 85 would handle 800.
+	// heartbeats to every other: each of 7 balancers handles 60 heartbeats a
+	// second, each of 85 would handle 800. In larger fleets only the balancers
+	// that read the store for their data centre and its first in rank send
+	// regular heartbeats to the data centre, and only the former send them to
+	// the relays of other data centres.
 	SmallFleet = 16
 	// relaysPerDataCenter is the number of balancers, the first in rank of their
 	// data centre, that receive heartbeats from other data centres.
@@ -69,7 +71,8 @@
 	return f.rank
 }
 
-// DataCenterRank returns how many data centres rank before the own one.
+// DataCenterRank returns how many data centres rank before the own one, in the order
+// of their names.
 func (f *Fleet) DataCenterRank() int {
 	f.update()
 	return f.dataCenterRank
@@ -101,7 +104,8 @@
 	return f.relays
 }
 
-// Revision returns a number that changes whenever the lists of balancers change.
+// Revision returns a number that grows after registrations have changed, as the lists
+// of balancers may then differ.
 func (f *Fleet) Revision() int {
 	f.update()
 	return f.revision
@@ -133,7 +137,7 @@
 	slices.SortFunc(all, compareMembers)
 	ranks := localRanks(all)
 	f.near, f.far, f.relays = nil, nil, nil
-	centres := map[string]bool{}
+	ranksBefore := map[string]bool{} // by other data centre: whether it ranks before the own one
 	for _, m := range all {
 		switch {
 		case m.VM == f.self.VM:
@@ -142,15 +146,15 @@
 			f.near = append(f.near, m.Control)
 		default:
 			f.far = append(f.far, m.Control)
-			centres[m.DataCenter] = centres[m.DataCenter] || m.DataCenter < f.self.DataCenter
+			ranksBefore[m.DataCenter] = ranksBefore[m.DataCenter] || m.DataCenter < f.self.DataCenter
 			if ranks[m.VM] < relaysPerDataCenter {
 				f.relays = append(f.relays, m.Control)
 			}
 		}
 	}
 	f.dataCenterRank = 0
-	for _, first := range centres {
-		if first {
+	for _, before := range ranksBefore {
+		if before {
 			f.dataCenterRank++
 		}
 	}
@@ -168,7 +172,8 @@
 	return out
 }
 
-// globalRanks returns the rank of each member in the whole fleet, by VM.
+// globalRanks returns the rank of each member in the whole fleet, by VM: first by the
+// rank in its data centre, then by the name of the data centre.
 func globalRanks(all []Member, ranks map[string]int) map[string]int {
 	byRank := slices.Clone(all)
 	slices.SortFunc(byRank, func(a, b Member) int {
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -15,7 +15,8 @@
 	// data centre.
 	Wide bool `cbor:"4,keyasint,omitempty"`
 	// Lease is the store's ID of the lease of the registration. A restarted
-	// balancer reuses it, which costs a tenth of a store call instead of two.
+	// balancer renews it, which the store counts as a tenth of a call; a new
+	// lease and registration take two calls.
 	Lease int64 `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -111,10 +111,10 @@
 
 // Changes is the answer to a balancer whose replica is behind.
 type Changes struct {
-	Full     bool          `cbor:"1,keyasint"` // Packed holds the whole replica rather than changes
-	Packed   []byte        `cbor:"2,keyasint"` // items; see Pack
-	Position int64         `cbor:"3,keyasint"`
-	Age      time.Duration `cbor:"4,keyasint"`
+	Full     bool          `cbor:"1,keyasint"`           // Packed holds the whole replica rather than changes
+	Packed   []byte        `cbor:"2,keyasint"`           // items; see Pack
+	Position int64         `cbor:"3,keyasint"`           // as in Heartbeat, after the changes
+	Age      time.Duration `cbor:"4,keyasint"`           // as in Heartbeat
 	Era      int64         `cbor:"5,keyasint,omitempty"` // era of the store of all revisions in this message
 }
 
@@ -129,7 +129,7 @@
 	return b, errors.Wrap(err, "peer: encode")
 }
 
-// Decode decodes a message.
+// Decode decodes a message into the value that into points to.
 func Decode(b []byte, into any) error {
 	return errors.Wrap(cbor.Unmarshal(b, into), "peer: decode")
 }
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -1,6 +1,7 @@
 package peer
 
-// Presence tells whether this balancer receives heartbeats from a registered one.
+// Presence is a registered balancer. It is alive if this balancer receives its
+// heartbeats.
 type Presence struct {
 	DataCenter string
 	Alive      bool
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -11,8 +11,8 @@
 // answers is enough, so two can be dead or cut off at the same time.
 const MaxBootstrapSources = 3
 
-// sizeTolerance is the divisor of the size of a data centre that gives the change in
-// size up to which the record in the store is not rewritten: one quarter.
+// sizeTolerance limits the change of a data centre's size up to which the record in the
+// store is not rewritten: 1/sizeTolerance, a quarter, of the size.
 const sizeTolerance = 4
 
 // BootstrapSources lists the balancers of a data centre from which a starting balancer
