--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -46,7 +46,7 @@
 	successors       = 8                // members that follow on the ring and are pinged
 	longLinkCount    = 2                // random members beyond the successors, which shorten paths through the group
 	relayCount       = 2                // members that are asked to ping one that does not answer
-	maxUpdates       = 8                // records in one message
+	maxUpdates       = 8                // queued records attached to one message
 	fanout           = 3                // members to which an urgent change is sent immediately
 	longLinkLifetime = 30 * time.Second // after which other long links are chosen
 )
@@ -60,7 +60,7 @@
 // member is a record with local state.
 type member struct {
 	wire.Record
-	seed        uint64        // hash of the name; position on the ring
+	hash        uint64        // of the name; position on the ring
 	statusSince time.Duration // time of the last change of status
 	probe       probeState
 }
@@ -86,15 +86,15 @@
 	self              *member
 	members           map[string]*member
 	byName            []*member // all members, sorted by name
-	queue             []update
-	digest            uint64
-	seq               uint32
-	nextNeighbour     int      // index in the neighbourhood, modulo its length
-	longLinks         []string // names; see chooseLongLinks
+	queue             []update  // records to attach to the next messages
+	digest            uint64    // see Digest
+	seq               uint32    // sequence number of the last ping
+	nextNeighbour     int       // index in the neighbourhood, modulo its length
+	longLinks         []string  // names; see chooseLongLinks
 	longLinksChosenAt time.Duration
-	nextPing          time.Duration
-	nextRejoin        time.Duration
-	lastReceived      time.Duration
+	nextPing          time.Duration           // when the next ping is due
+	nextRejoin        time.Duration           // when the next ping of a dead member is due
+	lastReceived      time.Duration           // when the last message arrived
 	resumedAt         time.Duration           // when a pause was noticed; zero once caught up
 	urgent            bool                    // a change has to be sent before the next heartbeat
 	pendingRelays     map[uint32]relayRequest // by the sequence number of our ping
@@ -137,7 +137,7 @@
 }
 
 func (g *Group) add(r wire.Record) *member {
-	m := &member{Record: r, seed: rendezvous.Seed(r.Name)}
+	m := &member{Record: r, hash: rendezvous.Seed(r.Name)}
 	g.members[r.Name] = m
 	i, _ := slices.BinarySearchFunc(g.byName, r.Name, func(m *member, n string) int { return strings.Compare(m.Name, n) })
 	g.byName = slices.Insert(g.byName, i, m)
@@ -198,6 +198,7 @@
 	g.urgent = true
 }
 
+// replace puts r in place of the record of m and queues it for the next messages.
 func (g *Group) replace(now time.Duration, m *member, r wire.Record) {
 	g.digest ^= recordHash(m.Record) ^ recordHash(r)
 	if m.Status != r.Status {
@@ -221,7 +222,8 @@
 	g.queue = append(g.queue, update{name, n})
 }
 
-// takeUpdates returns the records to attach to a message, newest first.
+// takeUpdates returns the records to attach to a message, first those that were attached
+// to the fewest messages.
 func (g *Group) takeUpdates() []wire.Record {
 	sort.SliceStable(g.queue, func(i, j int) bool { return g.queue[i].remaining > g.queue[j].remaining })
 	var out []wire.Record
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -17,7 +17,7 @@
 	names  []string
 	lost   func(from, to string) bool
 	paused map[string]bool
-	bytes  map[string]int
+	bytes  map[string]int // encoded bytes sent, by sender
 	queue  []inFlight
 }
 
--- a/internal/member/receive.go
+++ b/internal/member/receive.go
@@ -35,7 +35,7 @@
 			return []Send{{r.to, ack}}
 		}
 		if m.Target != "" {
-			g.clearProbe(m.Target) // a relay reached the target
+			g.clearProbe(m.Target) // a relay reached that member
 		}
 	}
 	return nil
@@ -52,7 +52,7 @@
 // it is reached.
 const maxPendingRelays = 64
 
-// relayPing pings a target for another member.
+// relayPing pings the member m.Target for the sender of m.
 func (g *Group) relayPing(now time.Duration, m *wire.Message) []Send {
 	if g.members[m.Target] == nil {
 		return nil
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -39,8 +39,8 @@
 }
 
 // CaughtUp reports whether this member may decide on flows as their home. After a
-// pause it may not until a message of a peer has arrived or four times the AckTimeout
-// have passed.
+// pause it may not until a message of a peer has arrived or all peers have had time to
+// answer, which is four times the AckTimeout.
 func (g *Group) CaughtUp(now time.Duration) bool {
 	if g.resumedAt == 0 {
 		return true
@@ -62,7 +62,7 @@
 		}
 	}
 	sort.Slice(ring, func(i, j int) bool {
-		return ring[i].seed-g.self.seed < ring[j].seed-g.self.seed
+		return ring[i].hash-g.self.hash < ring[j].hash-g.self.hash
 	})
 	var out []string
 	for i := 0; i < len(ring) && i < successors; i++ {
@@ -140,7 +140,7 @@
 
 // gossip sends queued updates to a few neighbours without waiting for a heartbeat.
 func (g *Group) gossip() []Send {
-	n := g.neighbourhood(g.longLinksChosenAt)
+	n := g.neighbourhood(g.longLinksChosenAt) // so that no long links are replaced for their age
 	g.random.Shuffle(len(n), func(i, j int) { n[i], n[j] = n[j], n[i] })
 	var out []Send
 	for i := 0; i < len(n) && i < fanout; i++ {
