--- a/internal/converge/converge.go
+++ b/internal/converge/converge.go
@@ -54,8 +54,9 @@
 func (c *Catalogue) Versions() *catalogue.Versions { return c.versions }
 
 // Accept applies versions that arrived from the store or from the member from. It
-// returns the messages that push those that are newer than the ones in force to peers,
-// whether there was any, and the errors of invalid entries.
+// returns the messages that push newer versions than the known ones to peers, whether
+// any version was newer, and the errors of invalid entries. Invalid versions are pushed
+// too, but the last valid version of the entry stays in force.
 func (c *Catalogue) Accept(vs []catalogue.Version, from string, peers []string) (out []Send, changed bool, errs []error) {
 	var newer []catalogue.Version
 	for _, v := range vs {
@@ -85,6 +86,7 @@
 	}
 }
 
+// push returns the messages with the newer versions to fanout random peers.
 func (c *Catalogue) push(newer []catalogue.Version, except string, peers []string) []Send {
 	var to []string
 	for _, p := range peers {
@@ -106,6 +108,8 @@
 	return &wire.Message{Kind: k, From: c.self, Digest: c.versions.Digest(), High: c.versions.High(), Versions: vs}
 }
 
+// split divides versions into messages of at most maxPush. A larger version gets a
+// message of its own.
 func split(vs []catalogue.Version) [][]catalogue.Version {
 	var out [][]catalogue.Version
 	size, from := 0, 0
