--- a/internal/control/catalogue.go
+++ b/internal/control/catalogue.go
@@ -30,8 +30,8 @@
 	stop context.CancelFunc
 }
 
-// startCatalogue starts to watch the catalogue folder, if one is set.
-func (l *Loop) startCatalogue(ctx context.Context) {
+// startFolderWatch starts to watch the catalogue folder, if one is set.
+func (l *Loop) startFolderWatch(ctx context.Context) {
 	if l.config.Catalogue.Folder != "" {
 		go l.watchFolder(ctx)
 	}
@@ -70,19 +70,20 @@
 }
 
 // readers returns the names of the members that read the store according to this
-// member's list: the first serving ones of each data centre in rendezvous order.
+// member's list: the first serving ones of each data centre in rendezvous order. This
+// member itself counts as serving.
 func (l *Loop) readers() map[string]bool {
-	names, seeds := map[string][]string{}, map[string][]uint64{}
+	names, hashes := map[string][]string{}, map[string][]uint64{} // by data centre
 	for _, r := range l.group.Members() {
 		if r.Name != l.config.Name && !member.Serving(r) {
 			continue
 		}
 		names[r.DataCenter] = append(names[r.DataCenter], r.Name)
-		seeds[r.DataCenter] = append(seeds[r.DataCenter], rendezvous.Seed(r.Name))
+		hashes[r.DataCenter] = append(hashes[r.DataCenter], rendezvous.Seed(r.Name))
 	}
 	out := map[string]bool{}
 	key := rendezvous.Seed("catalogue reader")
-	for dc, list := range seeds {
+	for dc, list := range hashes {
 		for _, i := range rendezvous.Order(nil, key, list, readersPerDataCenter) {
 			out[names[dc][i]] = true
 		}
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -22,7 +22,7 @@
 // and target hash.
 type connectionTable struct {
 	peers      map[string]map[uint32]peerCount
-	nextOffset int
+	nextOffset int // of report, modulo the number of counts
 }
 
 func newConnectionTable() *connectionTable {
--- a/internal/control/lifecycle.go
+++ b/internal/control/lifecycle.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// readyDelay is the minimum time after the start before a member serves, so that
+	// minStartTime is the minimum time after the start before a member serves, so that
 	// it knows the other members before it decides on flows.
-	readyDelay = 1500 * time.Millisecond
+	minStartTime = 1500 * time.Millisecond
 	// minLeaveTime is the minimum duration of a planned stop, so that its announcement
 	// reaches all members and the fabric.
 	minLeaveTime      = 1500 * time.Millisecond
 	leavePollInterval = 100 * time.Millisecond
-	// servingDelay is the time between the announcement that this member serves and
+	// readinessDelay is the time between the announcement that this member serves and
 	// its readiness, so that all members have it in their views first.
-	servingDelay = time.Second
+	readinessDelay = time.Second
 )
 
-// becomeReady ends the start when the catalogue is complete and readyDelay, in which
+// startServing ends the start when the catalogue is complete and minStartTime, in which
 // peers can answer, has passed. A starting member does not serve until then.
-func (l *Loop) becomeReady(now time.Duration) {
-	if l.leaving || !l.catalogueComplete || now < readyDelay || l.group.Self().Status != wire.Starting {
+func (l *Loop) startServing(now time.Duration) {
+	if l.leaving || !l.catalogueComplete || now < minStartTime || l.group.Self().Status != wire.Starting {
 		return
 	}
 	l.group.SetStatus(now, wire.Alive)
@@ -41,7 +41,7 @@
 func (l *Loop) Ready(ctx context.Context) bool {
 	ready := false
 	err := l.Do(ctx, func(now time.Duration) {
-		ready = l.group.Self().Status == wire.Alive && now-l.servingAt >= servingDelay
+		ready = l.group.Self().Status == wire.Alive && now-l.servingAt >= readinessDelay
 	})
 	return err == nil && ready
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	routerInterval = 20 * time.Millisecond
-	groupInterval  = 100 * time.Millisecond
-	slowInterval   = 500 * time.Millisecond
+	routerInterval = 20 * time.Millisecond  // between two ticks of the data path
+	groupInterval  = 100 * time.Millisecond // between two ticks of the member list
+	slowInterval   = 500 * time.Millisecond // between two calls of tickSlow
 )
 
 // Loop holds the control state of a daemon. Only the goroutine of Run accesses it; others
@@ -44,7 +44,7 @@
 	health         *health.Table
 	checker        *health.Checker
 	ids            *interner
-	connections    *connectionTable
+	connections    *connectionTable // of peers
 	events         chan func(now time.Duration)
 
 	lastTick           time.Duration
@@ -56,7 +56,7 @@
 	lastMemberSync     time.Duration // time of the last exchange of all member records
 	membersChangedAt   time.Duration // time of the last change of the member list
 	leaving            bool
-	servingAt          time.Duration
+	servingAt          time.Duration // when this member announced that it serves
 	reader             *reader
 	checkers           map[uint32]bool   // members whose findings are used
 	checks             map[uint32]*check // by target hash
@@ -147,7 +147,7 @@
 	if l.link != nil {
 		in = l.link.Messages()
 	}
-	l.startCatalogue(ctx)
+	l.startFolderWatch(ctx)
 	for {
 		select {
 		case <-ctx.Done():
@@ -197,7 +197,7 @@
 	l.updateReader(ctx)
 	l.checkTargets(ctx, now)
 	l.reportLoads(now)
-	l.becomeReady(now)
+	l.startServing(now)
 }
 
 // peerAddrs returns the addresses from which balancers send packets.
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	connectionsPerMessage = 32
-	healthPerMessage      = 3
+	connectionsPerMessage = 32 // connection counts on a heartbeat
+	healthPerMessage      = 3  // findings on a heartbeat
 	// When the digests of the member list differ, all records are exchanged. The size
 	// of that exchange grows with the number of members, so it waits until
 	// memberSyncQuiet for each member has passed since the last change, in which
@@ -71,6 +71,7 @@
 	l.spreadHealth(ctx)
 }
 
+// heartbeat handles the connection counts and the digests of a heartbeat or its answer.
 func (l *Loop) heartbeat(ctx context.Context, now time.Duration, m *wire.Message) {
 	l.connections.recordPeer(now, m.From, m.TargetConnections, l.ownConnections())
 	for _, s := range l.catalogueState.Compare(now, m) {
@@ -123,7 +124,7 @@
 
 // accept puts new versions in force and pushes them to other members.
 func (l *Loop) accept(ctx context.Context, vs []catalogue.Version, from string) {
-	out, changed, errs := l.catalogueState.Accept(vs, from, l.pushTargets(from))
+	out, changed, errs := l.catalogueState.Accept(vs, from, l.pushReceivers(from))
 	for _, err := range errs {
 		l.log.Error("catalogue entry refused", zap.Error(err), zap.String("from", from))
 	}
@@ -142,12 +143,12 @@
 	l.log.Info("catalogue changed", zap.Uint64("index", l.catalogueState.Versions().High()), zap.String("from", from))
 }
 
-// pushTargets returns the members to which new versions from a member, or from the store
+// pushReceivers returns the members to which new versions from a member, or from the store
 // if from is empty, may be pushed. Versions from the store are not pushed to other
 // readers, which have them already: with few VMs nearly all members are readers, and each
 // would push every entry to three that have it. A reader that cannot reach the store
 // notices the difference by the digest of the next heartbeat.
-func (l *Loop) pushTargets(from string) []string {
+func (l *Loop) pushReceivers(from string) []string {
 	peers := l.reachable()
 	if from != "" {
 		return peers
@@ -167,7 +168,8 @@
 	return out
 }
 
-// takeOver adds flows whose home this balancer has become to the router.
+// takeOver passes flows that were handed over to this balancer, their new home, to the
+// router.
 func (l *Loop) takeOver(fs []wire.Flow) {
 	ms := make([]router.Moved, 0, len(fs))
 	for _, f := range fs {
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -27,8 +27,8 @@
 	}
 	l.addNodes(v)
 	l.streamTargets = map[uint32]uint32{}
-	services, held := l.catalogueState.Versions().Services()
-	l.logHeldBack(held)
+	services, heldBack := l.catalogueState.Versions().Services()
+	l.logHeldBack(heldBack)
 	for _, s := range services {
 		l.addService(now, v, s)
 	}
@@ -101,10 +101,15 @@
 	l.log.Info("member", zap.String("peer", r.Name), zap.Stringer("state", r.Status), zap.Uint64("incarnation", r.Incarnation))
 }
 
+// inGroup reports whether a data centre belongs to the group of the settings: the data
+// centres whose balancers share the packets of the fabric. Without a group, all of them do.
 func (l *Loop) inGroup(dc string) bool {
 	return len(l.config.Group) == 0 || slices.Contains(l.config.Group, dc)
 }
 
+// addService adds a service with its addresses and targets to a view. If none of its
+// targets is eligible, new flows spill to data centres of other groups with a healthy one;
+// if there is none, failOpen applies.
 func (l *Loop) addService(now time.Duration, v *router.View, s *catalogue.Service) {
 	policy, _ := balance.ParsePolicy(l.config.Balance.Policy)
 	svc := router.Service{Name: s.Name, Slack: balance.SlackFor(s.BrokenFlowWeight), Policy: policy}
@@ -142,6 +147,8 @@
 	l.recordService(s, v)
 }
 
+// target returns a target of a service for balancing, and whether it is healthy. A target
+// without findings counts as healthy.
 func (l *Loop) target(now time.Duration, s *catalogue.Service, t catalogue.Target) (balance.Target, bool) {
 	id := l.ids.target(s.Number, t.Address, t.DataCenter)
 	st := l.health.State(now, wire.TargetHash(s.Number, t.Address), l.isReachableChecker)
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -61,8 +61,8 @@
 // those of the whole group under the empty name, and the index of this balancer in each
 // list.
 type checkerCandidates struct {
-	seeds map[string][]uint64
-	self  map[string]int
+	hashes map[string][]uint64
+	self   map[string]int
 }
 
 func (l *Loop) servingMembers() checkerCandidates {
@@ -74,9 +74,9 @@
 		}
 		for _, list := range []string{r.DataCenter, ""} {
 			if own {
-				s.self[list] = len(s.seeds[list])
+				s.self[list] = len(s.hashes[list])
 			}
-			s.seeds[list] = append(s.seeds[list], rendezvous.Seed(r.Name))
+			s.hashes[list] = append(s.hashes[list], rendezvous.Seed(r.Name))
 		}
 	}
 	return s
@@ -84,14 +84,14 @@
 
 // isChecker reports whether this balancer is one of a target's checkers.
 func (s checkerCandidates) isChecker(hash uint32, dc string) bool {
-	if len(s.seeds[dc]) == 0 {
+	if len(s.hashes[dc]) == 0 {
 		dc = ""
 	}
 	self, ok := s.self[dc]
 	if !ok {
 		return false
 	}
-	for _, i := range rendezvous.Order(nil, uint64(hash), s.seeds[dc], checkersPerTarget) {
+	for _, i := range rendezvous.Order(nil, uint64(hash), s.hashes[dc], checkersPerTarget) {
 		if i == self {
 			return true
 		}
@@ -108,8 +108,8 @@
 	ok := err == nil && a.Healthy
 	l.post(ctx, func(now time.Duration) {
 		self := checkerID(l.config.Name)
-		clock := uint32(time.Now().Unix())
-		if l.health.Result(now, self, hash, ok, a.Load, clock) {
+		seq := uint32(time.Now().Unix())
+		if l.health.Result(now, self, hash, ok, a.Load, seq) {
 			l.rebuildView = true
 			l.spreadHealth(ctx)
 		}
