--- a/internal/health/check.go
+++ b/internal/health/check.go
@@ -14,7 +14,7 @@
 
 const (
 	checkTimeout  = 800 * time.Millisecond
-	maxAnswerSize = 4096
+	maxAnswerSize = 4096 // bytes
 )
 
 // Answer is the JSON body that a target's health endpoint returns. Load is the used share
--- a/internal/health/table.go
+++ b/internal/health/table.go
@@ -14,11 +14,12 @@
 
 const (
 	// findingMaxAge is the time for which a finding is used, and findingRetention the
-	// time for which it is kept, so that a late duplicate is not taken for a new one.
+	// time for which it is kept, so that a late duplicate is recognised.
 	findingMaxAge    = 30 * time.Second
 	findingRetention = 2 * time.Minute
 	// Fall and Rise are the numbers of consecutive failed and successful checks after
-	// which a checker reports a target as unhealthy and healthy again.
+	// which a checker reports a target as unhealthy and healthy again. Its first check
+	// of a target decides alone.
 	Fall = 3
 	Rise = 2
 )
@@ -33,8 +34,8 @@
 type Table struct {
 	findings   map[uint32][]finding // by target, one for each checker
 	streak     map[uint32]streak
-	nextOffset int
-	dirty      []wire.Health
+	nextOffset int           // of Rotate, modulo the number of findings
+	dirty      []wire.Health // see TakeDirty
 }
 
 // streak counts this balancer's consecutive results for a target.
@@ -51,9 +52,9 @@
 }
 
 // Result records the result of this balancer's own check of a target and reports whether
-// the finding changed. clock is the sequence number of the finding; it has to grow with
+// the finding changed. seq is the sequence number of the finding; it has to grow with
 // every result.
-func (t *Table) Result(now time.Duration, self uint32, target uint32, ok bool, load float64, clock uint32) (changed bool) {
+func (t *Table) Result(now time.Duration, self uint32, target uint32, ok bool, load float64, seq uint32) (changed bool) {
 	s := t.streak[target]
 	before := s
 	if ok {
@@ -70,7 +71,7 @@
 		s.healthy = true
 	}
 	t.streak[target] = s
-	h := wire.Health{Target: target, Checker: self, Seq: clock, Healthy: s.healthy, Load: uint8(min(max(load, 0), 2.5) * 100)}
+	h := wire.Health{Target: target, Checker: self, Seq: seq, Healthy: s.healthy, Load: uint8(min(max(load, 0), 2.5) * 100)}
 	t.put(finding{h, now})
 	if !before.known || before.healthy != s.healthy {
 		t.dirty = append(t.dirty, h)
@@ -126,7 +127,7 @@
 type State struct {
 	Known   bool
 	Healthy bool
-	Load    float64
+	Load    float64       // used share of the target's capacity
 	At      time.Duration // arrival time of the load
 }
 
