--- a/internal/link/counting.go
+++ b/internal/link/counting.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// headerSize is the size of the UDP and IPv4 headerSize of a datagram.
+// headerSize is the size of the UDP and IPv4 headers of a datagram in bytes.
 const headerSize = 28
 
 // countingConn counts the bytes on the wire, including handshakes and acknowledgements.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -21,19 +21,23 @@
 )
 
 const (
-	idleTimeout = 45 * time.Second
+	idleTimeout = 45 * time.Second // after which a connection without packets is closed
 	dialTimeout = 2 * time.Second
-	sendTimeout = 5 * time.Second
+	sendTimeout = 5 * time.Second // for sending or receiving a message on a stream
 	// maxDatagram is the maximum size in bytes of a message sent as a datagram. It fits
 	// one QUIC packet on any path that carries the packets of the fabric.
 	maxDatagram = 1000
-	inboxLength = 1024
+	inboxLength = 1024 // received messages that wait for the reader of Messages
 	// maxConnectionAge is the age, plus up to a quarter at random, at which connections
 	// are closed, so that the next handshake uses the current keys.
 	maxConnectionAge = time.Hour
 )
 
-// Counts are totals since the start of the process, in connections, messages and bytes.
+// Counts are totals since the start of the process. Dials and DialErrors count attempts to
+// open a connection and failed ones, Refused the peers without a valid certificate of the
+// expected name. Messages counts the encoded messages to send, SendErrors those that could
+// not be encoded, queued or sent, Undecodable received ones that cannot be decoded or name
+// another sender than the certificate, and Overflow those that did not fit the queue.
 // BytesIn and BytesOut include 28 bytes of UDP and IP headers for each packet.
 type Counts struct {
 	Dials, DialErrors, Refused, SendErrors, Undecodable, Overflow atomic.Uint64
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -70,7 +70,8 @@
 	return l
 }
 
-// sendUntil sends again sendUntil f holds: single messages may be lost by design.
+// sendUntil calls send repeatedly until f returns true, as single messages may be lost by
+// design.
 func sendUntil(t *testing.T, what string, send func(), f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -79,7 +80,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("not reached: ", what)
+			t.Fatal("timed out waiting for: ", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -110,12 +111,12 @@
 // A connection with a certificate of another authority is refused and counted, and none
 // of its messages is delivered.
 func TestPeerOfAnotherAuthorityIsRefused(t *testing.T) {
-	stranger := start(t, memberFiles(t, newAuthority(t), "vm-a"), "127.0.8.3:7100")
+	untrusted := start(t, memberFiles(t, newAuthority(t), "vm-a"), "127.0.8.3:7100")
 	b := start(t, memberFiles(t, newAuthority(t), "vm-b"), "127.0.8.4:7100")
 	to := netip.MustParseAddrPort("127.0.8.4:7100")
-	sendUntil(t, "a refusal", func() {
-		stranger.Send(context.Background(), "vm-b", to, &wire.Message{Kind: wire.Ping, From: "vm-a"})
-	}, func() bool { return b.Count.Refused.Load()+stranger.Count.Refused.Load() > 0 })
+	sendUntil(t, "a refused connection", func() {
+		untrusted.Send(context.Background(), "vm-b", to, &wire.Message{Kind: wire.Ping, From: "vm-a"})
+	}, func() bool { return b.Count.Refused.Load()+untrusted.Count.Refused.Load() > 0 })
 	if len(b.Messages()) > 0 {
 		t.Fatal("a message of a refused peer was delivered")
 	}
@@ -127,7 +128,7 @@
 	a := start(t, memberFiles(t, ca, "vm-a"), "127.0.8.5:7100")
 	b := start(t, memberFiles(t, ca, "vm-b"), "127.0.8.6:7100")
 	to := netip.MustParseAddrPort("127.0.8.6:7100")
-	sendUntil(t, "a drop", func() {
+	sendUntil(t, "a dropped message", func() {
 		a.Send(context.Background(), "vm-b", to, &wire.Message{Kind: wire.Ping, From: "vm-c"})
 	}, func() bool { return b.Count.Undecodable.Load() > 0 })
 	if len(b.Messages()) > 0 {
--- a/internal/link/rotation_test.go
+++ b/internal/link/rotation_test.go
@@ -47,9 +47,9 @@
 		write(t, ca, newCA.Cert)
 	}
 	exchange("messages under the new authority")
-	stranger := startWithAge(t, memberFiles(t, oldCA, "vm-a"), "127.0.8.9:7100", age)
+	untrusted := startWithAge(t, memberFiles(t, oldCA, "vm-a"), "127.0.8.9:7100", age)
 	refused := b.Count.Refused.Load()
-	sendUntil(t, "a refusal", func() { ping(stranger) }, func() bool {
-		return b.Count.Refused.Load()+stranger.Count.Refused.Load() > refused
+	sendUntil(t, "a refused connection", func() { ping(untrusted) }, func() bool {
+		return b.Count.Refused.Load()+untrusted.Count.Refused.Load() > refused
 	})
 }
