--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -74,11 +74,11 @@
 type Record struct {
 	Name        string         `cbor:"1,keyasint"`
 	DataCenter  string         `cbor:"2,keyasint"`
-	Data        netip.AddrPort `cbor:"3,keyasint"`
-	Control     netip.AddrPort `cbor:"4,keyasint"`
-	Incarnation uint64         `cbor:"5,keyasint"`
+	Data        netip.AddrPort `cbor:"3,keyasint"` // address for forwarded packets
+	Control     netip.AddrPort `cbor:"4,keyasint"` // address for control messages
+	Incarnation uint64         `cbor:"5,keyasint"` // raised only by the member itself, also at each start; 0 for a seed that never answered
 	Status      Status         `cbor:"6,keyasint"`
-	Admin       netip.AddrPort `cbor:"7,keyasint"`
+	Admin       netip.AddrPort `cbor:"7,keyasint"` // address of the operators' interface
 }
 
 // TargetConnections is the number of stream connections of the sender's flows to a target,
@@ -89,8 +89,9 @@
 	Connections uint32
 }
 
-// Health is a checker's latest finding about a target. Load is in percent of the target's
-// capacity.
+// Health is a checker's latest finding about a target. Target is its TargetHash, and
+// Checker a hash of the checker's name. Load is in percent of the target's capacity, at most
+// 250.
 type Health struct {
 	_       struct{} `cbor:",toarray"`
 	Target  uint32
@@ -106,11 +107,11 @@
 	Caller  netip.AddrPort `cbor:"1,keyasint"`
 	Address netip.AddrPort `cbor:"2,keyasint"`
 	Target  netip.Addr     `cbor:"3,keyasint"`
-	Seq     uint32         `cbor:"4,keyasint"`
-	State   uint8          `cbor:"5,keyasint"`
+	Seq     uint32         `cbor:"4,keyasint"`           // see flow.Entry
+	State   uint8          `cbor:"5,keyasint"`           // a flow.State
 	Wait    uint32         `cbor:"6,keyasint,omitempty"` // milliseconds left until the admission deadline
 	Opening []byte         `cbor:"7,keyasint,omitempty"`
-	Lost    []netip.Addr   `cbor:"8,keyasint,omitempty"`
+	Lost    []netip.Addr   `cbor:"8,keyasint,omitempty"` // targets that left the opening unanswered
 }
 
 // Message is a message of any kind. Empty optional fields are not encoded.
@@ -118,9 +119,9 @@
 	Version           uint8               `cbor:"1,keyasint"`
 	Kind              Kind                `cbor:"2,keyasint"`
 	From              string              `cbor:"3,keyasint"`
-	Seq               uint32              `cbor:"4,keyasint,omitempty"`
-	Target            string              `cbor:"5,keyasint,omitempty"`
-	Updates           []Record            `cbor:"6,keyasint,omitempty"`
+	Seq               uint32              `cbor:"4,keyasint,omitempty"` // Ping, PingReq and Ack: sequence number of the ping
+	Target            string              `cbor:"5,keyasint,omitempty"` // PingReq and its Ack: name of the pinged member
+	Updates           []Record            `cbor:"6,keyasint,omitempty"` // member records: changes, or all of them after the digests of the lists differed
 	Digest            uint64              `cbor:"7,keyasint,omitempty"` // of the catalogue
 	High              uint64              `cbor:"8,keyasint,omitempty"` // highest catalogue index
 	Members           uint64              `cbor:"9,keyasint,omitempty"` // digest of the member list
@@ -128,7 +129,7 @@
 	Health            []Health            `cbor:"11,keyasint,omitempty"`
 	Above             uint64              `cbor:"12,keyasint,omitempty"` // Pull: versions above this index
 	Have              map[string]uint64   `cbor:"13,keyasint,omitempty"` // Pull: the sender's index of each catalogue entry
-	Full              bool                `cbor:"14,keyasint,omitempty"` // Pull: Have and Updates are complete
+	Full              bool                `cbor:"14,keyasint,omitempty"` // Pull: Have lists all entries; Above is not used
 	Versions          []catalogue.Version `cbor:"15,keyasint,omitempty"`
 	Flows             []Flow              `cbor:"16,keyasint,omitempty"`
 }
--- a/internal/wire/targethash.go
+++ b/internal/wire/targethash.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TargetHash returns the identifier of a target in heartbeats. A collision would only mix
-// the load reports of two targets.
+// TargetHash returns the identifier of a target in control messages. A collision would only
+// mix the connection counts, loads and findings of two targets, which affect new flows but
+// no established one.
 func TargetHash(service uint32, addr netip.Addr) uint32 {
 	var b [20]byte
 	a := addr.As16()
