--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -20,7 +20,7 @@
 	scope    tally.Scope
 	closer   io.Closer
 	handler  http.Handler
-	mu       sync.Mutex
+	mu       sync.Mutex // serialises Collect
 	counters []counter
 	gauges   []gauge
 }
