--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -47,10 +47,10 @@
 	return l, nil
 }
 
-// Lost returns the number of lines that were dropped.
+// Lost returns the number of lines that were dropped or that could not be written.
 func (l *Logger) Lost() uint64 { return l.lost.Load() }
 
-// ReportLost logs the number of lines dropped since the last call, if there were any.
+// ReportLost logs the number of lines lost since the last call, if there were any.
 func (l *Logger) ReportLost() {
 	n := l.lost.Load()
 	if n == l.reported {
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	for i := range 100000 {
 		l.Info("flow", zap.Int("n", i))
 		l.Info("message "+string(rune('a'+i%26)), zap.Int("n", i))
 	}
-	if took := time.Since(began); took > 3*time.Second {
+	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("200000 lines took %v", took)
 	}
 	if l.Lost() == 0 {
