--- a/internal/store/consul.go
+++ b/internal/store/consul.go
@@ -16,9 +16,11 @@
 
 const (
 	// WatchTime is the longest wait of a blocking query.
-	WatchTime   = 60 * time.Second
+	WatchTime = 60 * time.Second
+	// callTimeout bounds a call, apart from the wait of a blocking query.
 	callTimeout = 5 * time.Second
-	maxBody     = 64 << 20
+	// maxBody bounds a response body, in bytes.
+	maxBody = 64 << 20
 )
 
 // Consul implements Store with Consul's HTTP API (KV store and blocking queries).
@@ -28,12 +30,13 @@
 	client *http.Client
 }
 
-// NewConsul returns a Store at the base URL, such as http://127.0.0.1:8500. An empty token
-// sends none.
+// NewConsul returns a Store at the base URL, such as http://127.0.0.1:8500. Requests
+// carry token unless it is empty.
 func NewConsul(base, token string) *Consul {
 	return &Consul{base: base, token: token, client: &http.Client{}}
 }
 
+// consulPair is the JSON form of a key in Consul's responses.
 type consulPair struct {
 	Key         string
 	Value       []byte
--- a/internal/store/consul_test.go
+++ b/internal/store/consul_test.go
@@ -41,7 +41,7 @@
 		t.Fatalf("the delete: %v", err)
 	}
 	if p, err := c.Get(ctx, "k"); err != nil || string(p.Value) != "winner" || p.Created != old.Created {
-		t.Fatalf("%+v %v", p, err)
+		t.Fatalf("stored after the race: %+v, error %v", p, err)
 	}
 }
 
@@ -59,7 +59,7 @@
 		t.Fatalf("the write: %v", err)
 	}
 	if p, err := c.Get(ctx, "k"); err != nil || string(p.Value) != "v" {
-		t.Fatalf("%+v %v", p, err)
+		t.Fatalf("stored after the lost response: %+v, error %v", p, err)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	empty, err := c.List(ctx, "p/", 0)
 	if err != nil || len(empty.Pairs) > 0 || empty.Index == 0 {
-		t.Fatalf("%+v %v", empty, err)
+		t.Fatalf("listing of a prefix without keys: %+v, error %v", empty, err)
 	}
 	got := make(chan store.Listing, 1)
 	go func() {
@@ -89,7 +89,7 @@
 	select {
 	case l := <-got:
 		if len(l.Pairs) != 1 || string(l.Pairs[0].Value) != "new" || l.Index <= empty.Index {
-			t.Fatalf("%+v", l)
+			t.Fatalf("listing after the change: %+v", l)
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("the watch did not return")
