--- a/internal/catalogue/service.go
+++ b/internal/catalogue/service.go
@@ -42,11 +42,13 @@
 
 // Address is a virtual address that callers connect to.
 type Address struct {
-	Address    netip.AddrPort `toml:"address" json:"address"`
-	Class      Class          `toml:"class" json:"class"`
-	Idempotent bool           `toml:"idempotent" json:"idempotent"`
+	Address netip.AddrPort `toml:"address" json:"address"`
+	Class   Class          `toml:"class" json:"class"`
+	// Idempotent means that a request may be sent to a second target after the first
+	// one may have received it.
+	Idempotent bool `toml:"idempotent" json:"idempotent"`
 	// AdmissionDeadline bounds how long an opening packet may wait for a target
-	// with free capacity.
+	// with free capacity; zero means the router's default of one second.
 	AdmissionDeadline Duration `toml:"admission_deadline" json:"admission_deadline"`
 }
 
@@ -65,7 +67,7 @@
 	Address    netip.Addr  `toml:"address" json:"address"`
 	DataCenter string      `toml:"data_center" json:"data_center"`
 	State      TargetState `toml:"state" json:"state"`
-	// Health is the HTTP address of the health and load endpoint. Without it,
+	// Health is the URL of the health and load endpoint. Without it,
 	// health is derived only from the target's answers to flows.
 	Health string `toml:"health,omitempty" json:"health,omitempty"`
 }
--- a/internal/catalogue/validate.go
+++ b/internal/catalogue/validate.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxNumber   = 1<<24 - 1
-	maxDeadline = time.Minute
-	maxTargets  = 8192
+	maxNumber   = 1<<24 - 1   // a Geneve VNI has 24 bits
+	maxDeadline = time.Minute // admission deadline of an address
+	maxTargets  = 8192        // targets of a service
 )
 
 var nameRE = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
