--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 type Settings struct {
 	Name       string     `toml:"name"`
 	DataCenter string     `toml:"data_center"`
-	Group      []string   `toml:"group"` // data centres that share sprayed packets; empty means all
+	Group      []string   `toml:"group"` // data centres over whose balancers the fabric spreads the same packets; empty means all
 	Data       Data       `toml:"data"`
 	Fabric     Fabric     `toml:"fabric"`
 	Control    Control    `toml:"control"`
@@ -39,7 +39,7 @@
 // Data configures the data path: its UDP socket and the number of workers.
 type Data struct {
 	Listen  netip.AddrPort `toml:"listen"`
-	Workers int            `toml:"workers"`
+	Workers int            `toml:"workers"` // traffic goroutines; 0 means one per processor, 4 at most
 }
 
 // Fabric holds the address through which callers are reached and the prefixes from which
@@ -52,10 +52,12 @@
 // Control configures the protocol between balancers.
 type Control struct {
 	Listen         netip.AddrPort `toml:"listen"`
-	Period         Duration       `toml:"period"`
-	AckTimeout     Duration       `toml:"ack_timeout"`
-	SuspectTimeout Duration       `toml:"suspect_timeout"`
-	PauseLimit     Duration       `toml:"pause_limit"`
+	Period         Duration       `toml:"period"`          // interval of heartbeats
+	AckTimeout     Duration       `toml:"ack_timeout"`     // silence of a member after which others ping it
+	SuspectTimeout Duration       `toml:"suspect_timeout"` // time from suspecting a member to marking it dead
+	// PauseLimit is the longest pause of the control goroutine after which this balancer
+	// still decides on its own: after a longer one, peers may have replaced it.
+	PauseLimit Duration `toml:"pause_limit"`
 }
 
 // Admin configures the operators' HTTP endpoint.
@@ -67,8 +69,8 @@
 type Store struct {
 	URL       string   `toml:"url"`
 	Token     string   `toml:"token"`
-	Prefix    string   `toml:"prefix"`
-	VMRefresh Duration `toml:"vm_refresh"`
+	Prefix    string   `toml:"prefix"`     // of all keys
+	VMRefresh Duration `toml:"vm_refresh"` // interval of reading the platform's list of VMs
 }
 
 // Catalogue names a folder of catalogue entries that replaces the store.
@@ -78,27 +80,30 @@
 
 // Flows holds the limits and timeouts of the flow table.
 type Flows struct {
-	Max         int      `toml:"max"`
-	MaxOpenings int      `toml:"max_openings"`
-	StreamIdle  Duration `toml:"stream_idle"`
-	RequestIdle Duration `toml:"request_idle"`
-	OpenTimeout Duration `toml:"open_timeout"`
-	MaxTries    int      `toml:"max_tries"`
+	Max         int      `toml:"max"`          // entries of the flow table
+	MaxOpenings int      `toml:"max_openings"` // unfinished openings of one service
+	StreamIdle  Duration `toml:"stream_idle"`  // time until an idle stream flow is forgotten
+	RequestIdle Duration `toml:"request_idle"` // time until an idle request flow is forgotten
+	OpenTimeout Duration `toml:"open_timeout"` // silence of a target after which an opening is retried
+	MaxTries    int      `toml:"max_tries"`    // targets tried for one opening
+	// SilentAfter is the time after which a flow whose caller retransmits the same segment
+	// without an answer is reset if its target answers other flows, and DeadAfter the time
+	// if it answers none.
 	SilentAfter Duration `toml:"silent_after"`
 	DeadAfter   Duration `toml:"dead_after"`
 }
 
 // Balance configures the choice of targets.
 type Balance struct {
-	Policy string   `toml:"policy"`
-	Ramp   Duration `toml:"ramp"`
-	Hints  bool     `toml:"load_hints"`
+	Policy string   `toml:"policy"`     // name of a balance.Policy
+	Ramp   Duration `toml:"ramp"`       // time over which a target that became eligible reaches its full share
+	Hints  bool     `toml:"load_hints"` // use the load that targets' health endpoints report
 }
 
 // Leave holds the time limits of a planned stop.
 type Leave struct {
-	Quiet Duration `toml:"quiet"`
-	Max   Duration `toml:"max"`
+	Quiet Duration `toml:"quiet"` // the stop ends when the fabric has sent nothing for this time
+	Max   Duration `toml:"max"`   // the stop ends after this time in any case
 }
 
 // Log configures logging.
