--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -47,13 +47,13 @@
 // Catalogue edits the entries in a store.
 type Catalogue struct {
 	Store  store.Store
-	Prefix string
+	Prefix string        // of the keys in the store
 	Pause  time.Duration // between reads after a lost response; zero means 250 ms
 }
 
 func (c *Catalogue) key(name string) string { return store.ServiceKey(c.Prefix, name) }
 
-// Entry is a stored entry.
+// Entry is an entry with the index of its last write and its text in the store.
 type Entry struct {
 	Service *catalogue.Service
 	Index   uint64
@@ -151,7 +151,7 @@
 // the entry until the store responds.
 //
 // The error of the write does not show whether it took effect. Repeating a write
-// that did would fail or, without compare-and-swap, undo a later edit. The entry
+// that took effect would fail or, without compare-and-swap, undo a later edit. The entry
 // shows the outcome: this edit's ID (it took effect), the old index (it did not),
 // or another edit's ID (another edit, possibly based on this one).
 func (c *Catalogue) resolve(ctx context.Context, s *catalogue.Service, old uint64) (uint64, error) {
--- a/internal/operator/edit_test.go
+++ b/internal/operator/edit_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// lossy is a store that loses calls and responses at random, with a seed.
+// lossy is a store that loses calls and responses pseudo-randomly.
 type lossy struct {
 	store.Store
 	mu  sync.Mutex
@@ -72,7 +72,7 @@
 	_, err = c.Put(ctx, testEntry(t, 300), index)
 	var conflict *Conflict
 	if !errors.As(err, &conflict) || conflict.Theirs.Limits.Connections != 200 {
-		t.Fatalf("%v", err)
+		t.Fatalf("the second write: %v", err)
 	}
 	if !strings.Contains(conflict.Diff, "-   connections = 200\n+   connections = 300") {
 		t.Fatalf("difference:\n%s", conflict.Diff)
@@ -81,27 +81,29 @@
 
 // The response or the call of a write is lost. Guards against reporting a write that took
 // effect as failed, after which an operator would repeat it over a later edit.
-func TestLostAnswerIsResolved(t *testing.T) {
+func TestLostResponseIsResolved(t *testing.T) {
 	ctx := context.Background()
 	st := testStore(t)
-	c := &Catalogue{Store: &answerLost{st}, Prefix: "rosedale", Pause: time.Millisecond}
+	c := &Catalogue{Store: &responseLost{st}, Prefix: "rosedale", Pause: time.Millisecond}
 	index, err := c.Put(ctx, testEntry(t, 100), 0)
 	if err != nil || index == 0 {
-		t.Fatalf("index %d: %v", index, err)
+		t.Fatalf("a write whose response was lost: index %d, error %v", index, err)
 	}
 	c.Store = &callLost{st}
 	if _, err := c.Put(ctx, testEntry(t, 200), index); !errors.Is(err, ErrNotWritten) {
-		t.Fatalf("%v", err)
+		t.Fatalf("a write whose call was lost: %v", err)
 	}
 }
 
-type answerLost struct{ store.Store }
+// responseLost is a store whose writes take effect and whose responses to them are lost.
+type responseLost struct{ store.Store }
 
-func (s *answerLost) Swap(ctx context.Context, key string, value []byte, old uint64) error {
+func (s *responseLost) Swap(ctx context.Context, key string, value []byte, old uint64) error {
 	_ = s.Store.Swap(ctx, key, value, old)
 	return errLost
 }
 
+// callLost is a store that loses all writes.
 type callLost struct{ store.Store }
 
 func (s *callLost) Swap(context.Context, string, []byte, uint64) error { return errLost }
@@ -152,6 +154,8 @@
 	}
 }
 
+// history lets four operators edit one entry concurrently, 8 times each, and returns their
+// operations. Value v is stored as v+1 connections, since an entry needs at least one.
 func history(t *testing.T, seed uint64) []porcupine.Operation {
 	ctx := context.Background()
 	st := testStore(t)
@@ -187,7 +191,7 @@
 				_, err = c.Put(ctx, testEntry(t, value+1), e.Index)
 				var conflict *Conflict
 				if err != nil && !errors.As(err, &conflict) && !errors.Is(err, ErrNotWritten) {
-					t.Errorf("unexpected: %v", err)
+					t.Errorf("unexpected error of a write: %v", err)
 				}
 				uncertain := conflict != nil && conflict.Uncertain
 				add(client, edit{old: current, value: value}, call, result{written: err == nil, unknown: uncertain})
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -66,13 +66,13 @@
 type VM struct {
 	Name   string          `json:"name"`
 	Admin  string          `json:"admin"`
-	State  string          `json:"state"` // according to the first balancer
+	State  string          `json:"state"` // according to the balancer at Fleet.Admin
 	Status *control.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Status queries all live members that the first balancer knows, and returns all members
-// sorted by name.
+// Status queries all live members that the balancer at f.Admin knows, and returns all
+// members that it knows, sorted by name.
 func (f *Fleet) Status(ctx context.Context) ([]VM, error) {
 	var first control.Status
 	if err := f.Get(ctx, f.Admin, "/status", nil, &first); err != nil {
@@ -109,7 +109,7 @@
 }
 
 // Wait waits until every live balancer has at least version index of the entry
-// with this name in force. If ctx ends first, the error lists the other balancers.
+// with this name in force. If ctx ends first, the error lists the balancers that do not.
 func (f *Fleet) Wait(ctx context.Context, name string, index uint64) error {
 	for {
 		vms, err := f.Status(ctx)
--- a/internal/operator/snapshot.go
+++ b/internal/operator/snapshot.go
@@ -23,9 +23,9 @@
 }
 
 // Snapshot writes a zip archive of the state of every live balancer: a folder for
-// each, fleet.json with the members according to the first balancer, and errors.txt
+// each, fleet.json with the members according to the balancer at f.Admin, and errors.txt
 // with the failed queries. It changes no balancer's state. It returns an error only
-// if the archive cannot be written or the first balancer does not respond.
+// if the archive cannot be written or the balancer at f.Admin does not respond.
 func (f *Fleet) Snapshot(ctx context.Context, out io.Writer) error {
 	vms, err := f.Status(ctx)
 	if err != nil {
