--- a/internal/daemon/collector.go
+++ b/internal/daemon/collector.go
@@ -12,6 +12,8 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
+// newCollector returns a collector with the metrics of all components. ln is nil if the
+// balancer runs alone.
 func newCollector(r *router.Router, p *forward.Plane, l *control.Loop, ln *link.Link, files keys.Files) *metrics.Collector {
 	m := metrics.New()
 	for _, reason := range router.Reasons() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,6 +65,8 @@
 	return nil
 }
 
+// openLink opens the link to other balancers and runs it until ctx ends. It returns nil if
+// the settings contain no control address: the balancer then runs alone.
 func openLink(ctx context.Context, set settings.Settings, log *zap.Logger) (*link.Link, error) {
 	if !set.Control.Listen.IsValid() {
 		return nil, nil
@@ -81,6 +83,7 @@
 	return ln, nil
 }
 
+// openStore returns the store's client, or nil if a catalogue folder replaces the store.
 func openStore(set settings.Settings) store.Store {
 	if set.Store.URL == "" {
 		return nil
--- a/internal/daemon/decisions.go
+++ b/internal/daemon/decisions.go
@@ -6,8 +6,8 @@
 	"rosedale.dev/rosedale/internal/router"
 )
 
-// logDecision logs a routing decision that may explain a caller's complaint. Successful
-// openings and packets of open flows are only counted.
+// logDecision logs a routing decision that may explain a failure that a caller reports.
+// Successful openings and packets of open flows are only counted.
 func logDecision(log *zap.Logger, d *router.Decision) {
 	fields := []zap.Field{zap.Stringer("caller", d.Caller), zap.Stringer("address", d.Address)}
 	if d.State != 0 {
