--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,13 +17,16 @@
 
 const (
 	// maxFlows bounds the number of flows in a response of /flows.
-	maxFlows     = 10000
+	maxFlows = 10000
+	// queryTimeout bounds the wait for the control goroutine.
 	queryTimeout = 2 * time.Second
 )
 
 // Source provides the daemon's state.
 type Source interface {
+	// Status returns the current state, or an error if ctx ends first.
 	Status(ctx context.Context) (control.Status, error)
+	// Ready reports whether the fabric may send packets to this balancer.
 	Ready(ctx context.Context) bool
 }
 
@@ -76,6 +79,8 @@
 	writeJSON(w, list)
 }
 
+// serveExplanation explains the choice of a target for a new flow. Without a caller in the
+// query, it uses an address that is reserved for documentation (TEST-NET-1).
 func serveExplanation(w http.ResponseWriter, req *http.Request, r *router.Router, now time.Duration) {
 	q := req.URL.Query()
 	addr, err := netip.ParseAddrPort(q.Get("address"))
