--- a/cmd/rosedale-edge/main.go
+++ b/cmd/rosedale-edge/main.go
@@ -1,5 +1,6 @@
 // Command rosedale-edge is the load balancer for platforms whose targets answer
-// callers directly. Every entry VM runs one.
+// callers directly. One runs on every entry VM, a VM to which the routers deliver
+// callers' packets.
 package main
 
 import (
--- a/cmd/rosedale/catalogue.go
+++ b/cmd/rosedale/catalogue.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// withOneArg returns the Exec function of a command with exactly one argument, which usage
-// errors call what.
+// withOneArg returns the Exec function of a command with exactly one argument. what names the
+// argument in usage errors.
 func withOneArg(what string, f func(ctx context.Context, arg string) error) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -54,8 +54,8 @@
 				t.row(s.Name, s.Owner, s.Number, len(s.Addresses), len(s.Targets), e.Index)
 				services = append(services, s)
 			}
-			for _, b := range invalid {
-				fmt.Fprintln(os.Stderr, "rosedale: invalid:", b)
+			for _, entryErr := range invalid {
+				fmt.Fprintln(os.Stderr, "rosedale: invalid:", entryErr)
 			}
 			return a.print(t, services)
 		},
--- a/cmd/rosedale/edit.go
+++ b/cmd/rosedale/edit.go
@@ -11,7 +11,8 @@
 	"rosedale.dev/rosedale/internal/catalogue"
 )
 
-// changes holds the edits given by flags.
+// changes holds the edits given by flags. Zero slots or connections and a negative weight
+// mean no change.
 type changes struct {
 	slots, connections int
 	weight             float64
@@ -28,9 +29,9 @@
 func (a *app) edit() *ffcli.Command {
 	var c changes
 	fs := flag.NewFlagSet("edit", flag.ContinueOnError)
-	fs.IntVar(&c.slots, "slots", 0, "slots of each target")
-	fs.IntVar(&c.connections, "connections", 0, "connections of each target")
-	fs.Float64Var(&c.weight, "broken-flow-weight", -1, "weight of broken flows against imbalance, 0 to 1")
+	fs.IntVar(&c.slots, "slots", 0, "slots of each target; 0 means no change")
+	fs.IntVar(&c.connections, "connections", 0, "connections of each target; 0 means no change")
+	fs.Float64Var(&c.weight, "broken-flow-weight", -1, "weight of broken flows against imbalance, 0 to 1; negative means no change")
 	fs.Var(&c.states, "target-state", "ADDRESS=active or ADDRESS=draining; may be repeated")
 	fs.Var(&c.add, "add-target", "ADDRESS=DATA_CENTER; may be repeated")
 	fs.Var(&c.remove, "remove-target", "ADDRESS; may be repeated")
--- a/cmd/rosedaled/main.go
+++ b/cmd/rosedaled/main.go
@@ -1,5 +1,5 @@
 // Command rosedaled is the load balancer for platforms whose targets answer callers through
-// the balancers. Every entry VM runs one.
+// the balancers. One runs on every entry VM, a VM to which the fabric delivers callers' packets.
 package main
 
 import (
