--- a/internal/standin/target/endpoint.go
+++ b/internal/standin/target/endpoint.go
@@ -38,7 +38,7 @@
 	mu       sync.Mutex
 	injected Behaviour
 	silenced map[connection]bool // connections whose packets are dropped in both directions
-	pending  handshakes
+	pending  handshakes          // connections whose handshake has not ended
 	stats    Stats
 }
 
@@ -57,13 +57,13 @@
 	Service     string `json:"service"`
 	Target      string `json:"target"`
 	DataCenter  string `json:"dataCenter"`
-	Streams     int    `json:"streams"` // open at present
-	Slots       int    `json:"slots"`   // in use at present
-	MaxSlots    int    `json:"maxSlots"`
-	Opened      int    `json:"opened"`
-	Shed        int    `json:"shed"`
-	Executed    int    `json:"executed"`
-	WrongNumber int    `json:"wrongNumber"`
+	Streams     int    `json:"streams"`     // open at present
+	Slots       int    `json:"slots"`       // in use at present
+	MaxSlots    int    `json:"maxSlots"`    // largest value of Slots so far
+	Opened      int    `json:"opened"`      // connections accepted
+	Shed        int    `json:"shed"`        // openings reset for lack of capacity or by Behaviour.Shed
+	Executed    int    `json:"executed"`    // requests executed
+	WrongNumber int    `json:"wrongNumber"` // packets dropped because they carried another service's number
 }
 
 func newEndpoint(ctx context.Context, s *catalogue.Service, t catalogue.Target, fabric *net.UDPAddr, rec *Records) (*Endpoint, error) {
@@ -91,7 +91,7 @@
 	if e.net, err = netstack.New(ctx, addrs, e.sendInner); err != nil {
 		return nil, err
 	}
-	const maxInFlight = 1024
+	const maxInFlight = 1024 // openings in progress, and connections that wait for an http.Server
 	f := tcp.NewForwarder(e.net.Stack, 0, maxInFlight, e.accept)
 	e.net.Stack.SetTransportProtocolHandler(tcp.ProtocolNumber, f.HandlePacket)
 	for a, c := range e.classes {
@@ -105,7 +105,8 @@
 }
 
 // accept accepts or resets an opening packet. It resets it when the endpoint is
-// at its limit or set to shed load, as a listener with a full backlog would.
+// at its limit or set to shed load, as a listener with a full backlog or a
+// load-shedding policy would, and when the address is not one of the service's.
 func (e *Endpoint) accept(r *tcp.ForwarderRequest) {
 	id := r.ID()
 	local, _ := netip.AddrFromSlice(id.LocalAddress.AsSlice())
@@ -189,7 +190,7 @@
 }
 
 // shouldDrop reports whether a received packet is dropped, because it carries
-// another service's number or an injected fault applies to it.
+// another service's number (Geneve VNI) or an injected fault applies to it.
 func (e *Endpoint) shouldDrop(from netip.Addr, number uint32, seg *packet.Segment) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,7 +207,8 @@
 }
 
 // resetUnexpected answers a packet with a reset and returns true if it
-// acknowledges a sequence number that the endpoint did not send.
+// acknowledges a sequence number that the endpoint did not send, so that it
+// belongs to another target's connection.
 func (e *Endpoint) resetUnexpected(seg *packet.Segment) bool {
 	e.mu.Lock()
 	unexpectedAck := e.pending.unexpectedAck(seg)
--- a/internal/standin/target/handshakes_test.go
+++ b/internal/standin/target/handshakes_test.go
@@ -65,7 +65,7 @@
 	send(100, 0, header.TCPFlagSyn, "")
 	accept := receive()
 	if !accept.IsAccept() {
-		t.Fatalf("answer to the opening: %+v", accept)
+		t.Fatalf("answer to the opening: %+v, want SYN and ACK", accept)
 	}
 	for range 2 {
 		send(101, accept.Seq+777, header.TCPFlagAck|header.TCPFlagPsh, request)
@@ -74,12 +74,12 @@
 		}
 	}
 	if n := len(rec.snapshot()["r1"]); n != 0 {
-		t.Errorf("the request ran %d times", n)
+		t.Errorf("the request meant for another target ran %d times, want 0", n)
 	}
 	send(101, accept.Seq+1, header.TCPFlagAck|header.TCPFlagPsh, request)
 	for end := time.Now().Add(2 * time.Second); len(rec.snapshot()["r1"]) != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the target's own request did not run")
+			t.Fatal("the request on this target's connection did not run once")
 		}
 	}
 }
--- a/internal/standin/target/listener.go
+++ b/internal/standin/target/listener.go
@@ -8,7 +8,8 @@
 	"gvisor.dev/gvisor/pkg/tcpip/adapters/gonet"
 )
 
-// listener hands accepted connections to an http.Server.
+// listener hands accepted connections to an http.Server. It stays open until the
+// process ends: Close does nothing.
 type listener struct {
 	addr     netip.AddrPort
 	accepted chan net.Conn
--- a/internal/standin/target/main.go
+++ b/internal/standin/target/main.go
@@ -21,7 +21,7 @@
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("target", flag.ContinueOnError)
 	dir := fs.String("catalogue", "", "folder of catalogue entries")
-	dcs := fs.String("data-centers", "", "comma-separated data centres to run, all if empty")
+	dcs := fs.String("data-centers", "", "comma-separated data centres whose targets to run, all if empty")
 	fabric := fs.String("fabric", "127.0.9.1:6083", "address at which the fabric receives targets' packets")
 	control := fs.String("control", "127.0.9.2:8080", "address of the control endpoint")
 	if err := fs.Parse(args); err != nil {
@@ -82,9 +82,12 @@
 // Health is the answer of a target's health and load endpoint.
 type Health struct {
 	Healthy bool    `json:"healthy"`
-	Load    float64 `json:"load"`
+	Load    float64 `json:"load"` // largest used share of a limit, 1 at the limit
 }
 
+// controlHandler serves the control endpoint: /executions (the runs of each request),
+// /stats, /health, /set (replaces a target's injected faults) and /lose (drops all
+// further packets of n open streams of a target).
 func controlHandler(eps []*Endpoint, rec *Records) http.Handler {
 	byAddr := map[netip.Addr]*Endpoint{}
 	for _, e := range eps {
--- a/internal/standin/target/records.go
+++ b/internal/standin/target/records.go
@@ -11,7 +11,7 @@
 // identifier, and the open streams of each endpoint.
 type Records struct {
 	mu      sync.Mutex
-	runs    map[string][]string // target, caller and time of each run
+	runs    map[string][]string // request identifier -> target, caller and time of each run
 	streams map[*Endpoint]map[connection]bool
 }
 
