--- a/internal/standin/caller/main.go
+++ b/internal/standin/caller/main.go
@@ -18,7 +18,8 @@
 	"rosedale.dev/rosedale/internal/standin/netstack"
 )
 
-// callerCount is the number of inner addresses of one process.
+// callerCount is the number of callers' addresses that one process uses. They are the
+// source addresses of the packets inside its Geneve datagrams.
 const callerCount = 50
 
 type options struct {
@@ -44,9 +45,9 @@
 	if err := l.connect(ctx); err != nil {
 		return err
 	}
-	run, cancel := context.WithTimeout(ctx, o.duration)
+	runCtx, cancel := context.WithTimeout(ctx, o.duration)
 	defer cancel()
-	l.run(run)
+	l.run(runCtx)
 	runs, err := fetchExecutions(o.targets)
 	if err != nil {
 		return err
@@ -155,8 +156,8 @@
 	wg.Wait()
 }
 
-// executionsTimeout bounds a query for a target's executions, which it answers
-// from memory.
+// executionsTimeout bounds a query for the executions at one target process. The
+// process answers it from memory.
 const executionsTimeout = 5 * time.Second
 
 // fetchExecutions returns the runs of each request at the targets, by request
--- a/internal/standin/caller/main_test.go
+++ b/internal/standin/caller/main_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a run that never ends: a hung target process accepts the connection
-// for the query of executions but does not answer. The run must end with an error.
+// on which its executions are queried but does not answer. The run must end with an error.
 func TestSilentTargetDoesNotHoldTheRunUp(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -28,6 +28,7 @@
 			return
 		}
 		id := fmt.Sprintf("r%d-%s-%s-%d", l.opt.block, s.service, s.addr, n)
+		// The work is at least half the mean, plus an exponentially distributed part.
 		work := int(float64(s.work) * (0.5 + rnd.ExpFloat64()/2))
 		wg.Add(1)
 		go func() {
--- a/internal/standin/caller/result.go
+++ b/internal/standin/caller/result.go
@@ -13,30 +13,30 @@
 // Result holds the outcomes of one run's streams and requests. Latencies are in
 // milliseconds.
 type Result struct {
-	StreamsOpened int `json:"streamsOpened"`
+	StreamsOpened int `json:"streamsOpened"` // whose connection opened
 	StreamsFailed int `json:"streamsFailed"` // whose connection did not open
-	StreamsBroken int `json:"streamsBroken"`
-	StreamsReset  int `json:"streamsReset"` // of StreamsBroken, those that a reset ended
-	Frames        int `json:"frames"`
-	WrongService  int `json:"wrongService"`
-	Crossed       int `json:"crossed"` // answers or frames that belong to another request or stream
-	Requests      int `json:"requests"`
+	StreamsBroken int `json:"streamsBroken"` // opened, and ended or sent a wrong frame before the end of the run
+	StreamsReset  int `json:"streamsReset"`  // of StreamsBroken, those that a reset ended
+	Frames        int `json:"frames"`        // frames received on all streams
+	WrongService  int `json:"wrongService"`  // answers or frames of another service
+	Crossed       int `json:"crossed"`       // answers or frames that belong to another request or stream
+	Requests      int `json:"requests"`      // requests attempted
 	Answered      int `json:"answered"`
-	Refused       int `json:"refused"`
-	Broken        int `json:"broken"` // reset or cut after the connection opened
-	TimedOut      int `json:"timedOut"`
+	Refused       int `json:"refused"`  // whose opening was reset
+	Broken        int `json:"broken"`   // not answered, though the connection opened: reset, cut or timed out
+	TimedOut      int `json:"timedOut"` // whose connection did not open, other than Refused
 	RunTwice      int `json:"runTwice"` // executed more than once
-	// Twice lists where the first of them were executed, at most maxTwice.
+	// Twice lists the executions of the first requests in RunTwice, at most maxTwice requests.
 	Twice          []string       `json:"twice,omitempty"`
-	RefusedButRun  int            `json:"refusedButRun"`
+	RefusedButRun  int            `json:"refusedButRun"`  // refused though a target reports a run
 	AnsweredNotRun int            `json:"answeredNotRun"` // answered though no target reports a run
-	P50            float64        `json:"p50"`
+	P50            float64        `json:"p50"`            // response time of answered requests, opening included
 	P99            float64        `json:"p99"`
-	OpenP50        float64        `json:"openP50"`
+	OpenP50        float64        `json:"openP50"` // time until a connection opened
 	OpenP99        float64        `json:"openP99"`
 	RefusedP50     float64        `json:"refusedP50"` // time until the refusal
 	RefusedP99     float64        `json:"refusedP99"`
-	Errors         map[string]int `json:"errors,omitempty"`
+	Errors         map[string]int `json:"errors,omitempty"` // number of errors by cause
 	// Cut lists the first flows that broke, at most maxCut.
 	Cut []Cut `json:"cut,omitempty"`
 }
@@ -74,6 +74,8 @@
 // maxTwice bounds Result.Twice.
 const maxTwice = 5
 
+// outcome is how a request ended for its caller; see the fields of the same names in
+// Result.
 type outcome int
 
 const (
--- a/internal/standin/caller/stream.go
+++ b/internal/standin/caller/stream.go
@@ -18,7 +18,8 @@
 	openSpread = 2 * time.Second
 	// frameTimeout is how long a caller waits for the next frame of a stream.
 	frameTimeout = 20 * time.Second
-	dialTimeout  = 10 * time.Second
+	// dialTimeout bounds opening a stream's connection.
+	dialTimeout = 10 * time.Second
 )
 
 // runStream opens one stream, keeps it open until ctx ends and checks every frame.
@@ -151,7 +152,7 @@
 		l.rec.update(func(r *Result) { r.Crossed++ })
 		return errors.New("another caller's frame")
 	case f[1] != target || f[3] != fmt.Sprint(seq):
-		return errors.New("frame out of order")
+		return errors.New("frame out of order or from another target")
 	}
 	return nil
 }
