--- a/internal/standin/direct/caller.go
+++ b/internal/standin/direct/caller.go
@@ -82,14 +82,15 @@
 		}
 		select {
 		case fl.received <- receivedPacket{h, string(body)}:
-		default: // nobody reads this flow any more
+		default: // the buffer is full because the flow is not read any more; the packet is dropped
 		}
 	}
 }
 
-// Open opens a flow to a service address through a balancer. It sends the opening up
-// to three times, as the protocol does, and returns ErrTimeout if none is answered or
-// ErrReset if the flow is refused.
+// Open opens a flow to a service address through a balancer. As callers of the platform
+// do, it sends the opening up to three times, each time with the number of earlier copies
+// in the acknowledgement field. It waits 200, 400 and 800 ms for an answer, and returns
+// ErrTimeout if there is none or ErrReset if the flow is refused.
 func (c *Caller) Open(to, via netip.AddrPort) (*Flow, error) {
 	c.mu.Lock()
 	c.port++
@@ -143,8 +144,8 @@
 // Cookie returns the flow's cookie, by which its target and the balancers identify it.
 func (fl *Flow) Cookie() uint32 { return fl.echo }
 
-// AskVia is like Ask, but via chooses a balancer for each retransmission, as the
-// fabric may.
+// AskVia is like Ask, but via chooses the balancer for each transmission of the request,
+// as the fabric may.
 func (fl *Flow) AskVia(body string, timeout time.Duration, via func() netip.AddrPort) (string, error) {
 	end := time.Now().Add(timeout)
 	for wait := 200 * time.Millisecond; ; wait *= 2 {
@@ -180,7 +181,7 @@
 	return errors.Is(err, ErrReset)
 }
 
-// Close sends a FIN and forgets the flow.
+// Close sends a FIN. Packets of the flow that arrive later are ignored.
 func (fl *Flow) Close() {
 	fl.send(header{seq: fl.seq, ack: fl.ack, hasAck: true, fin: true}, nil)
 	fl.c.mu.Lock()
--- a/internal/standin/direct/catalogue.go
+++ b/internal/standin/direct/catalogue.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Route is a route of the catalogue.
+// Route directs the requests for a service address to a service.
 type Route struct {
 	Address    netip.AddrPort
 	Service    string
--- a/internal/standin/direct/handlers.go
+++ b/internal/standin/direct/handlers.go
@@ -142,6 +142,7 @@
 	}{s.lastLease, in.TTL})
 }
 
+// renewLease extends a lease by a minute, regardless of the TTL with which it was granted.
 func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 identifies no lease
 	s.mu.Lock()
@@ -162,8 +163,8 @@
 	s.respond(w, struct{}{})
 }
 
-// respond writes an answer with the store's era. The caller holds s.mu, so that the era
-// is the one in which the data was read.
+// respond writes an answer with the store's era. s.mu is held, so that the era is the
+// one in which the data was read.
 func (s *Store) respond(w http.ResponseWriter, v any) {
 	setEra(w, s.era)
 	writeJSON(w, v)
--- a/internal/standin/direct/packet.go
+++ b/internal/standin/direct/packet.go
@@ -5,18 +5,19 @@
 	"net/netip"
 )
 
-// header is a packet's header. The stand-ins have their own codec, so that tests detect
-// faults in the product's codec.
+// header is the header of the platform's packets. Bytes 20 to 23, the checksum, are left
+// 0. The stand-ins have their own codec, so that tests detect faults in the product's
+// codec.
 type header struct {
 	seq, ack    uint32
 	dst, src    netip.AddrPort
-	length      int
-	echo        uint32
+	length      int    // size of the body in bytes
+	echo        uint32 // the flow's cookie
 	syn, hasAck bool
 	fin, rst    bool
 }
 
-const headerSize = 31
+const headerSize = 31 // bytes
 
 // Bits of the header's flags byte.
 const (
--- a/internal/standin/direct/relay.go
+++ b/internal/standin/direct/relay.go
@@ -17,13 +17,13 @@
 	mu     sync.Mutex
 	refuse bool
 	delay  time.Duration
-	open   map[net.Conn]*relayedConn
+	open   map[net.Conn]*relayedConn // by the balancer's connection
 }
 
 // relayedConn is the state of an open connection. A silenced one stays open, but its
 // data is discarded.
 type relayedConn struct {
-	peer     net.Conn
+	peer     net.Conn // connection to the store
 	silenced bool
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// Delay sets the delay of each chunk of data that is forwarded.
+// Delay sets how long each chunk of data is delayed before it is forwarded.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // Silence discards all further data on the connections that are open. New connections
-// work.
+// are not affected.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/direct/settings.go
+++ b/internal/standin/direct/settings.go
@@ -8,15 +8,15 @@
 
 // Settings holds what the platform writes into a balancer's settings file.
 type Settings struct {
-	VM         string
+	VM         string // name of the balancer's VM
 	DataCenter string
-	Data       netip.AddrPort // receives callers' packets
-	Ready      netip.AddrPort // answers the routers' readiness checks
-	Control    netip.AddrPort // receives other balancers' packets
-	Seeds      []netip.AddrPort
-	Store      netip.AddrPort
-	GraceS     float64 // seconds from SIGTERM to SIGKILL
-	Bootstrap  bool    // this is the first start of the whole fleet
+	Data       netip.AddrPort   // receives callers' packets
+	Ready      netip.AddrPort   // answers the routers' readiness checks
+	Control    netip.AddrPort   // receives other balancers' packets
+	Seeds      []netip.AddrPort // Control addresses of balancers to contact first
+	Store      netip.AddrPort   // address of the metadata store
+	GraceS     float64          // seconds from SIGTERM to SIGKILL
+	Bootstrap  bool             // this is the first start of the whole fleet
 }
 
 // Write writes the settings to a file in the platform's JSON format.
--- a/internal/standin/direct/store.go
+++ b/internal/standin/direct/store.go
@@ -28,13 +28,13 @@
 // Fault selects how the store answers a call.
 type Fault int
 
-// The faults. Lost applies to POST calls; other calls are answered.
+// The faults.
 const (
-	Healthy   Fault = iota
-	Busy            // 503
-	Throttled       // 429
-	Silent          // no answer until the client gives up
-	Lost            // writes take effect but are not answered
+	Healthy   Fault = iota // no fault
+	Busy                   // answers 503
+	Throttled              // answers 429
+	Silent                 // no answer; the connection is closed when the client disconnects
+	Lost                   // POST calls take effect but are not answered; other calls are answered
 )
 
 // pageSize is the largest number of items in one answer. It is small so that listings
@@ -47,17 +47,17 @@
 
 	mu          sync.Mutex
 	items       map[string]item
-	events      []item
+	events      []item // the change history, oldest first
 	rev         int64
-	compacted   int64 // revision up to which the change history was dropped
-	leases      map[int64]time.Time
-	lastLease   int64
+	compacted   int64               // revision up to which the change history was dropped
+	leases      map[int64]time.Time // when each lease expires
+	lastLease   int64               // identifier of the lease granted last
 	fault       func(client netip.Addr) Fault
 	calls       int
 	listCalls   int  // number of calls that list keys
 	refuseLists bool // whether calls that list keys are refused
 	era         int64
-	changed     chan struct{}
+	changed     chan struct{} // closed and replaced at each change
 	srv         *http.Server
 }
 
@@ -257,6 +257,7 @@
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 func (discard) WriteHeader(int)             {}
 
+// expire ends the leases that were not renewed in time. s.mu is held.
 func (s *Store) expire() {
 	for id, until := range s.leases {
 		if time.Now().Before(until) {
@@ -266,6 +267,7 @@
 	}
 }
 
+// endLease ends a lease and removes the keys that were written with it. s.mu is held.
 func (s *Store) endLease(id int64) {
 	delete(s.leases, id)
 	for k, i := range s.items {
--- a/internal/standin/direct/target.go
+++ b/internal/standin/direct/target.go
@@ -18,10 +18,10 @@
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
 	Version  string `json:"version"`
-	Slots    int    `json:"slots"`
-	State    string `json:"state"`
-	ColdLeft int    `json:"coldLeftMs"`
-	Sequence int    `json:"sequence"`
+	Slots    int    `json:"slots"`          // number of requests that it works on at a time
+	State    string `json:"state"`          // "ready" or "draining"
+	ColdLeft int    `json:"coldLeftMs"`     // remaining time of its slow start in ms
+	Sequence int    `json:"sequence"`       // number of its writes since its start
 	Born     int64  `json:"born,omitempty"` // Unix time of its start in ms; 0 if it is not reported
 }
 
@@ -42,11 +42,11 @@
 	tcp        net.Listener
 	srv        *http.Server
 	store      *Store
-	callerPort uint16 // port at which callers receive packets
+	callerPort uint16 // port at every caller's address at which the caller receives packets
 
 	mu    sync.Mutex
-	start uint32 // number of the present start
-	flows map[[2]netip.AddrPort]*targetFlow
+	start uint32                            // number of the present start
+	flows map[[2]netip.AddrPort]*targetFlow // by caller and service address; nil after Stop
 }
 
 // NewTarget starts a target at addr, registers it in the store and sends its answers
@@ -123,7 +123,7 @@
 func (t *Target) Silence() { t.silent.Store(true) }
 
 // Stop closes the target's sockets, so that its address refuses connections, and
-// forgets its flows.
+// discards its flows.
 func (t *Target) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,12 +201,12 @@
 	t.send(h, header{seq: fl.isn, ack: h.seq + 1, syn: true, hasAck: true}, nil)
 }
 
-// OpenedInThisStart reports whether the target is running and a flow with this initial
-// sequence number of the target was opened in its present start, not in an earlier one.
-func (t *Target) OpenedInThisStart(initial uint32) bool {
+// OpenedInThisStart reports whether the target is running and a flow with the given initial
+// sequence number (ISN) of the target was opened in its present start, not in an earlier one.
+func (t *Target) OpenedInThisStart(isn uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.flows != nil && isFromStart(t.start, initial)
+	return t.flows != nil && isFromStart(t.start, isn)
 }
 
 // execute waits for the duration of a request and answers it once.
@@ -222,7 +222,8 @@
 	fl.sendSeq += uint32(len(answer))
 }
 
-func (t *Target) send(to, h header, body []byte) {
-	h.src, h.dst, h.echo = to.dst, to.src, to.echo
-	_, _ = t.udp.WriteToUDPAddrPort(h.encode(body), netip.AddrPortFrom(to.src.Addr(), t.callerPort)) // packet loss is part of the protocol
+// send sends a packet in answer to one with the header received.
+func (t *Target) send(received, h header, body []byte) {
+	h.src, h.dst, h.echo = received.dst, received.src, received.echo
+	_, _ = t.udp.WriteToUDPAddrPort(h.encode(body), netip.AddrPortFrom(received.src.Addr(), t.callerPort)) // packet loss is part of the protocol
 }
--- a/internal/standin/direct/target_test.go
+++ b/internal/standin/direct/target_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// testPort is the port at which the tests' caller receives packets.
 const testPort = 18599
 
 // opening is the caller's opening of the tests' flow.
@@ -70,11 +71,11 @@
 	accept, _ := x.exchange(opening, "")
 	x.exchange(request(accept), "note")
 	if again, _ := x.exchange(opening, ""); again.seq != accept.seq {
-		t.Errorf("answers %d and %d to copies of one opening", accept.seq, again.seq)
+		t.Errorf("initial sequence numbers %d and %d in the answers to copies of one opening, want the same", accept.seq, again.seq)
 	}
 	x.handlePacket(request(accept), "note")
 	if runs := x.Log.Repeated(); len(runs) > 0 {
-		t.Errorf("ran more than once: %v", runs)
+		t.Errorf("requests that ran more than once: %v", runs)
 	}
 }
 
@@ -98,6 +99,6 @@
 		t.Errorf("answer %+v, want a reset", answer)
 	}
 	if runs := x.Log.Repeated(); len(runs) > 0 {
-		t.Errorf("ran more than once: %v", runs)
+		t.Errorf("requests that ran more than once: %v", runs)
 	}
 }
--- a/internal/standin/direct/targetflow.go
+++ b/internal/standin/direct/targetflow.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// targetFlow is a target's state of a flow. Its numbers are sequence numbers.
+// targetFlow is a target's state of a flow.
 type targetFlow struct {
-	opening      uint32 // of the caller's opening
-	isn          uint32 // of the target's answer to it
-	nextSeq      uint32 // of the caller's next data
-	sendSeq      uint32 // of the target's next data
+	opening      uint32 // sequence number of the caller's opening
+	isn          uint32 // initial sequence number of the target, sent in its answer to the opening
+	nextSeq      uint32 // sequence number of the next data expected from the caller
+	sendSeq      uint32 // sequence number of the next data that the target sends
 	acknowledged bool   // the caller has acknowledged the answer
 }
 
 // startBits is the number of high bits of the target's initial sequence number that
-// hold the number of the target's start.
+// contain the low bits of the number of the target's start.
 const startBits = 8
 
 func newTargetFlow(start, opening uint32) *targetFlow {
@@ -20,7 +20,8 @@
 	return &targetFlow{opening: opening, isn: isn, nextSeq: opening + 1, sendSeq: isn + 1}
 }
 
-// isFromStart reports whether an initial sequence number was assigned in a start.
+// isFromStart reports whether an initial sequence number was assigned in the start with
+// the given number.
 func isFromStart(start, isn uint32) bool {
 	return start&(1<<startBits-1) == isn>>(32-startBits)
 }
