--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -28,23 +28,23 @@
 	Name       string         `json:"name"`
 	DataCenter string         `json:"dataCenter"`
 	Data       netip.AddrPort `json:"data"`
-	Admin      string         `json:"admin"`
+	Admin      string         `json:"admin"` // host:port of the readiness check
 }
 
-// Fabric holds the fabric's state, which its control endpoint changes.
+// Fabric holds the fabric's state. The control endpoint sets the balancers and faults.
 type Fabric struct {
 	ready         atomic.Pointer[[]Balancer]
 	isolated      atomic.Pointer[map[string]bool] // isolated data centres
-	entry         atomic.Pointer[string]          // data centre that receives callers' packets, empty for all; see spray
+	entry         atomic.Pointer[string]          // data centre whose balancers receive all callers' packets; empty for any
 	loss          atomic.Int64                    // packets dropped per million
 	dup           atomic.Int64                    // packets duplicated per million
 	mu            sync.RWMutex
-	balancers     []Balancer
-	callers       sync.Map // netip.Addr -> *net.UDPAddr
-	sourceSockets sync.Map // netip.Addr -> *net.UDPConn bound to that target's address
+	balancers     []Balancer // ready or not
+	callers       sync.Map   // inner netip.Addr of a caller -> outer *net.UDPAddr of its process
+	sourceSockets sync.Map   // netip.Addr -> *net.UDPConn bound to that target's address
 	toCallers     *net.UDPConn
-	Sprayed       atomic.Uint64
-	NoReady       atomic.Uint64
+	Sprayed       atomic.Uint64 // packets sent to balancers, duplicates included
+	NoReady       atomic.Uint64 // packets dropped because no balancer that may get them was ready
 }
 
 // Main runs the fabric until ctx ends.
@@ -159,13 +159,13 @@
 }
 
 // spray sends b to a random ready balancer. dc is the data centre of the sender,
-// empty for callers, whose packets go to all ready balancers. Packets of targets in
+// empty for callers, whose packets may go to any ready balancer. Packets of targets in
 // an isolated data centre go only to that data centre's balancers, and packets of
-// other targets never do. If an entry data centre is set, callers' packets go to its
-// balancers, and targets' packets to the balancers of the target's data centre.
+// other targets never go there. If an entry data centre is set, callers' packets go to
+// its balancers, and targets' packets to the balancers of the target's data centre.
 func (f *Fabric) spray(c *net.UDPConn, b []byte, dc string) {
 	if e := *f.entry.Load(); e != "" {
-		f.sprayGroup(c, b, cmp.Or(dc, e))
+		f.sprayDataCenter(c, b, cmp.Or(dc, e))
 		return
 	}
 	isolated := *f.isolated.Load()
@@ -179,8 +179,8 @@
 	f.sprayOver(c, b, candidates)
 }
 
-// sprayGroup sends b to a random ready balancer of one data centre.
-func (f *Fabric) sprayGroup(c *net.UDPConn, b []byte, dc string) {
+// sprayDataCenter sends b to a random ready balancer of one data centre.
+func (f *Fabric) sprayDataCenter(c *net.UDPConn, b []byte, dc string) {
 	var candidates []Balancer
 	for _, r := range *f.ready.Load() {
 		if r.DataCenter == dc {
@@ -190,8 +190,8 @@
 	f.sprayOver(c, b, candidates)
 }
 
-// sprayOver sends b to a random balancer of candidates, and drops or duplicates it
-// with the set probabilities.
+// sprayOver sends b to a random balancer of candidates. With the set probabilities it
+// drops b, or sends it twice, each time to a random balancer.
 func (f *Fabric) sprayOver(c *net.UDPConn, b []byte, candidates []Balancer) {
 	if len(candidates) == 0 {
 		f.NoReady.Add(1)
@@ -253,6 +253,8 @@
 	f.ready.Store(&ready)
 }
 
+// controlHandler serves the control endpoint: /balancers (replaces the list of balancers),
+// /set (replaces the faults) and /stats.
 func (f *Fabric) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /balancers", func(w http.ResponseWriter, r *http.Request) {
@@ -267,10 +269,10 @@
 	})
 	mux.HandleFunc("POST /set", func(w http.ResponseWriter, r *http.Request) {
 		var s struct {
-			Cut   []string `json:"cut"`
-			Loss  int64    `json:"loss"` // packets per million
-			Dup   int64    `json:"dup"`
-			Entry string   `json:"entry"`
+			Cut   []string `json:"cut"`   // data centres to isolate
+			Loss  int64    `json:"loss"`  // packets per million
+			Dup   int64    `json:"dup"`   // packets per million
+			Entry string   `json:"entry"` // see Fabric.entry
 		}
 		if err := json.NewDecoder(r.Body).Decode(&s); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
