--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -23,7 +23,7 @@
 )
 
 // Link is one direction between two processes. Datagrams that arrive at Listen are
-// sent to To from the IP address Source.
+// sent to To from the IP address Source. Replies to that address go back to the sender.
 type Link struct {
 	From   string         `json:"from"` // data centre of the sender
 	Dest   string         `json:"dest"` // data centre of the receiver
@@ -43,7 +43,7 @@
 	Loss         float64  `json:"loss"`    // probability that a datagram is dropped
 	Dup          float64  `json:"dup"`     // probability that a datagram is sent twice
 	Reorder      float64  `json:"reorder"` // probability of a further delay of ReorderDelay
-	Delay        int      `json:"delayMs"` // of each datagram, in ms
+	Delay        int      `json:"delayMs"` // delay of each datagram, in ms
 	ReorderDelay int      `json:"holdMs"`  // further delay of reordered datagrams, in ms
 	Cut          []string `json:"cut"`     // data centres that are isolated from all others
 	// Platform lists the data centres that are cut off from the platform.
@@ -54,14 +54,14 @@
 type proxy struct {
 	mu       sync.RWMutex
 	faults   Faults
-	cut      map[string]bool
-	outgoing sync.Map // sender and link -> *net.UDPConn
+	cut      map[string]bool // isolated data centres, from faults.Cut
+	outgoing sync.Map        // sender and link -> *net.UDPConn
 }
 
 // Main relays until ctx ends.
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("faultproxy", flag.ContinueOnError)
-	file := fs.String("links", "", "JSON file with the links")
+	file := fs.String("links", "", "JSON file with the links and gates")
 	control := fs.String("control", "127.0.9.4:8080", "address of the control endpoint")
 	if err := fs.Parse(args); err != nil {
 		return err
--- a/internal/standin/faultproxy/tcp.go
+++ b/internal/standin/faultproxy/tcp.go
@@ -15,9 +15,9 @@
 // cut off from the platform, open connections are closed, and new ones are closed as
 // soon as they are accepted.
 type Gate struct {
-	From   string         `json:"from"`
+	From   string         `json:"from"` // data centre whose processes connect to Listen
 	Listen netip.AddrPort `json:"listen"`
-	To     netip.AddrPort `json:"to"`
+	To     netip.AddrPort `json:"to"` // address of the platform's store
 }
 
 // gatePollInterval is how often a connection checks whether its gate is cut.
