--- a/internal/standin/netstack/netstack.go
+++ b/internal/standin/netstack/netstack.go
@@ -1,6 +1,7 @@
 // Package netstack provides a userspace TCP stack for the stand-ins. It exchanges
-// raw IP packets with its user, who carries them in Geneve datagrams, so that
-// unmodified HTTP clients and servers communicate through the balancers.
+// raw IP packets with the stand-in that uses it, which carries them in Geneve
+// datagrams, so that unmodified HTTP clients and servers communicate through the
+// balancers.
 package netstack
 
 import (
@@ -21,8 +22,8 @@
 )
 
 const (
-	nic       = 1
-	mtu       = 1400
+	nic       = 1    // identifier of the interface
+	mtu       = 1400 // bytes
 	queueSize = 4096 // packets sent and not yet passed on
 )
 
