--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -24,13 +24,13 @@
 // maxValueSize is the largest size of a value, in bytes.
 const maxValueSize = 1 << 20
 
-// pair is a key as answers encode it, with the field names of Consul's API.
+// pair is a key with its value, encoded in answers under the field names of Consul's API.
 type pair struct {
 	Key         string
-	Value       string
+	Value       string // in base64
 	ModifyIndex uint64
 	CreateIndex uint64
-	Session     string `json:",omitempty"`
+	Session     string `json:",omitempty"` // session that has locked the key
 }
 
 // session is a lock holder that expires unless it is renewed.
@@ -42,22 +42,22 @@
 // Faults holds the faults that an experiment can inject.
 type Faults struct {
 	Down        bool          `json:"down"`        // answer every call with 503
-	Delay       time.Duration `json:"delay"`       // before each call is handled
-	LoseAnswers int           `json:"loseAnswers"` // number of answers to lose, of the next writes and deletions of keys
+	Delay       time.Duration `json:"delay"`       // time that each call waits before it is handled, in ns
+	LoseAnswers int           `json:"loseAnswers"` // number of further writes and deletions of keys whose answers are lost
 }
 
 // Store holds the keys, sessions, faults and call counters.
 type Store struct {
 	mu       sync.Mutex
-	index    uint64
+	index    uint64 // incremented at each change of a key and each new session
 	pairs    map[string]*pair
 	deleted  map[string]uint64 // index of each key's deletion
 	sessions map[string]*session
 	changed  chan struct{} // closed and replaced at each change
 	faults   Faults
-	Reads    int
-	Writes   int
-	Watches  int
+	Reads    int // calls that read keys without blocking
+	Writes   int // calls that write or delete keys, or that create, renew or destroy sessions
+	Watches  int // blocking queries
 }
 
 // New returns an empty store.
@@ -185,7 +185,8 @@
 }
 
 // waitForChange waits until the prefix's index passes after, the store is down, the wait
-// has passed or the client is gone. s.mu is held before and after, but not while it waits.
+// has passed or the client is gone. If wait is missing, invalid or above 10 minutes, 5
+// minutes apply. s.mu is held before and after, but not while it waits.
 func (s *Store) waitForChange(r *http.Request, prefix string, after uint64, wait string) {
 	d, err := time.ParseDuration(wait)
 	if err != nil || d <= 0 || d > 10*time.Minute {
