--- a/internal/edgedemo/balancer.go
+++ b/internal/edgedemo/balancer.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	readyPort   = 17001
-	controlPort = 17002
+	readyPort   = 17001 // at which a balancer answers readiness checks
+	controlPort = 17002 // at which a balancer receives other balancers' packets
 	// stopTimeout is the grace period of a planned stop.
 	stopTimeout = 5 * time.Second
 	// probeInterval is the interval between the fabric's readiness checks of a balancer,
@@ -32,8 +32,8 @@
 type balancer struct {
 	addr         netip.Addr
 	dataCenter   string
-	settingsFile string // path
-	log          *os.File
+	settingsFile string   // path
+	log          *os.File // output of the process
 	cmd          *exec.Cmd
 	exited       chan struct{} // closed when the process has exited
 	ready        atomic.Bool   // according to the fabric's checks
@@ -79,7 +79,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // ProcessState holds more than the error
+		_ = cmd.Wait() // replace reads the exit code from ProcessState
 		close(exited)
 	}()
 	b.cmd, b.exited = cmd, exited
--- a/internal/edgedemo/callers.go
+++ b/internal/edgedemo/callers.go
@@ -15,7 +15,7 @@
 
 const (
 	callersPerDataCenter = 4
-	// maxTries is how often a caller sends a request, each time on a new flow.
+	// maxTries is how often a caller tries a request. Each further try is on a new flow.
 	maxTries = 3
 	// answerTimeout is how long a caller waits for an answer.
 	answerTimeout = 2500 * time.Millisecond
@@ -23,7 +23,8 @@
 	latencyGoal = 500 * time.Millisecond
 )
 
-// callers send requests continuously and count the outcomes.
+// callers is the set of stand-in callers, which send requests continuously, and the
+// counts of their outcomes.
 type callers struct {
 	d    *deployment
 	stop chan struct{}
@@ -36,9 +37,9 @@
 
 // counts holds the outcomes of requests in one step of the demo.
 type counts struct {
-	requests, late, failed int
-	resets                 int // resets of open flows
-	latencies              []time.Duration
+	requests, late, failed int             // late are answered after more than latencyGoal
+	resets                 int             // resets of open flows
+	latencies              []time.Duration // of answered requests
 }
 
 func startCallers(d *deployment) (*callers, error) {
@@ -77,8 +78,8 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// generateLoad sends requests until the callers stop: previews on a flow that stays
-// open, and each note on a new flow.
+// generateLoad sends requests until the callers stop, with random pauses below 60 ms:
+// previews on a flow that stays open, and each note on a new flow.
 func (c *callers) generateLoad(from *direct.Caller, id int) {
 	rng := rand.New(rand.NewPCG(uint64(id), 1))
 	var open *direct.Flow
--- a/internal/edgedemo/demo.go
+++ b/internal/edgedemo/demo.go
@@ -42,9 +42,9 @@
 
 // run executes all steps and prints the callers' counts in each.
 func run(d *deployment) error {
-	var ran direct.RunLog
+	var runLog direct.RunLog
 	for _, t := range d.targets {
-		t.Log = &ran
+		t.Log = &runLog
 	}
 	c, err := startCallers(d)
 	if err != nil {
@@ -65,8 +65,8 @@
 		}
 	}
 	c.stopAndWait()
-	for body, at := range ran.Repeated() {
-		c.recordViolation("request %s ran %d times: %v", body, len(at), at)
+	for body, runs := range runLog.Repeated() {
+		c.recordViolation("request %s ran %d times: %v", body, len(runs), runs)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "demo: table")
--- a/internal/edgedemo/deployment.go
+++ b/internal/edgedemo/deployment.go
@@ -1,6 +1,7 @@
 // Package edgedemo demonstrates several rosedale-edge processes with stand-ins for the
-// platform's store, targets and callers on loopback. Meanwhile balancers are replaced and
-// killed, a target becomes unreachable, a route is added and a data centre is evacuated.
+// platform's store, targets and callers on loopback. While the callers send requests,
+// balancers are replaced and killed, a target becomes unreachable, a route is added and a
+// data centre is evacuated.
 package edgedemo
 
 import (
@@ -15,10 +16,10 @@
 
 // Size of the deployment.
 const (
-	balancersPerDataCenter = 2 // balancers in each data centre
-	targetsPerService      = 2 // targets of each service in each data centre
-	dataPort               = 18600
-	startTimeout           = 10 * time.Second
+	balancersPerDataCenter = 2                // balancers in each data centre
+	targetsPerService      = 2                // targets of each service in each data centre
+	dataPort               = 18600            // at which balancers receive callers' packets, and callers receive answers
+	startTimeout           = 10 * time.Second // for all balancers to become ready
 )
 
 var dataCenters = []string{"vault-a", "scan-hall", "annex-b"}
@@ -58,8 +59,8 @@
 // address returns the i-th address of a role. The second byte depends on the process,
 // so that demos that run at the same time use different addresses.
 func address(role, i int) netip.Addr {
-	const nets, least = 200, 30
-	return netip.AddrFrom4([4]byte{127, byte(least + os.Getpid()%nets), byte(200 + role), byte(i + 1)})
+	const count, lowest = 200, 30 // of the second bytes: 30 to 229
+	return netip.AddrFrom4([4]byte{127, byte(lowest + os.Getpid()%count), byte(200 + role), byte(i + 1)})
 }
 
 func newDeployment(dir string) (*deployment, error) {
@@ -110,8 +111,8 @@
 	d.store.PutCatalogue(d.version, routes...)
 }
 
-// openedFlows returns how many flows the targets of a data centre have taken.
-func (d *deployment) openedFlows(dataCenter string) int64 {
+// answeredOpenings returns how many openings the targets of a data centre have answered.
+func (d *deployment) answeredOpenings(dataCenter string) int64 {
 	var n int64
 	for _, t := range d.targets {
 		if t.dataCenter == dataCenter {
--- a/internal/edgedemo/steps.go
+++ b/internal/edgedemo/steps.go
@@ -71,22 +71,22 @@
 func evacuate(d *deployment) error {
 	d.store.Put(platform.EvacuationPrefix+dataCenters[0], map[string]any{})
 	time.Sleep(propagationLimit)
-	before := d.openedFlows(dataCenters[0])
+	before := d.answeredOpenings(dataCenters[0])
 	time.Sleep(settleTime)
-	if n := d.openedFlows(dataCenters[0]) - before; n > 0 {
+	if n := d.answeredOpenings(dataCenters[0]) - before; n > 0 {
 		return errors.Errorf("%d flows were opened in the evacuated data centre", n)
 	}
 	return nil
 }
 
-// endEvacuation removes the mark and checks that the data centre's targets get new flows
-// again.
+// endEvacuation removes the evacuation mark and checks that the data centre's targets get
+// new flows again within propagationLimit.
 func endEvacuation(d *deployment) error {
 	d.store.Remove(platform.EvacuationPrefix + dataCenters[0])
-	before := d.openedFlows(dataCenters[0])
+	before := d.answeredOpenings(dataCenters[0])
 	time.Sleep(propagationLimit)
-	if d.openedFlows(dataCenters[0]) == before {
-		return errors.New("no flow was opened in the data centre that was taken back")
+	if d.answeredOpenings(dataCenters[0]) == before {
+		return errors.New("no flow was opened in the data centre after the end of its evacuation")
 	}
 	return nil
 }
