--- a/internal/standin/direct/packet.go
+++ b/internal/standin/direct/packet.go
@@ -5,9 +5,8 @@
 	"net/netip"
 )
 
-// header is the header of the platform's packets. Bytes 20 to 23, the checksum, are left
-// 0. The stand-ins have their own codec, so that tests detect faults in the product's
-// codec.
+// header is the header of the platform's packets. Bytes 20 to 23 are sent as 0 and ignored.
+// The stand-ins have their own codec, so that tests detect faults in the product's codec.
 type header struct {
 	seq, ack    uint32
 	dst, src    netip.AddrPort
