--- a/internal/model/describe.go
+++ b/internal/model/describe.go
@@ -7,13 +7,13 @@
 	"rosedale.dev/rosedale/internal/router"
 )
 
-// resets are the reasons for which a balancer may reset one end of a flow.
-var resets = []router.Reason{router.ResetSilent, router.ResetUnknown, router.ResetAbandoned, router.ResetLeft, router.DropLateAccept}
+// resetReasons lists the counters of resets that a balancer sends to one end of a flow.
+var resetReasons = []router.Reason{router.ResetSilent, router.ResetUnknown, router.ResetAbandoned, router.ResetLeft, router.DropLateAccept}
 
-// logResets tells how often each balancer had a reason for a reset.
+// logResets logs each balancer's reset counters that are not zero.
 func (w *world) logResets(log func(format string, args ...any)) {
 	for i, b := range w.balancers {
-		for _, r := range resets {
+		for _, r := range resetReasons {
 			if n := b.r.Count(r); n > 0 {
 				log("balancer %d: %s %d", i, r, n)
 			}
@@ -21,15 +21,16 @@
 	}
 }
 
-func describe(f *flight) string {
+// describe returns one line about a message for the trace of a run.
+func describe(f *message) string {
 	from := [...]string{"caller's", "passed on", "to target", "answer of target", "to caller", "handover"}
-	if f.where == handover {
+	if f.leg == handover {
 		return fmt.Sprintf("handover of %d flows", len(f.moved))
 	}
 	seg, err := packet.Parse(f.b)
 	if err != nil {
 		return "unreadable"
 	}
-	return fmt.Sprintf("%s %d: %v seq %d ack %d len %d hop %d/%d/%d", from[f.where], f.index,
+	return fmt.Sprintf("%s %d: %v seq %d ack %d len %d hop %d/%d/%d", from[f.leg], f.index,
 		seg.Flags, seg.Seq, seg.Ack, seg.PayloadLen, f.hop.Kind, f.hop.Count, f.hop.Flags)
 }
--- a/internal/model/endpoint.go
+++ b/internal/model/endpoint.go
@@ -17,7 +17,7 @@
 	flagFin = header.TCPFlagFin
 )
 
-// phase is the progress of a caller's connection.
+// phase is the state of a caller's connection.
 type phase int
 
 const (
@@ -29,18 +29,19 @@
 	broken
 )
 
-// caller is one connection with one request, as far as TCP decides about it
-// (RFC 9293): it believes an acceptance with its own number, a reset with the
-// exact next number, and an answer with both numbers right.
+// caller models one TCP connection (RFC 9293) that carries one request. It
+// accepts a SYN-ACK that acknowledges its initial sequence number, a reset with
+// exactly the next sequence number, and an answer whose sequence and
+// acknowledgement numbers both match.
 type caller struct {
-	index         int
-	addr, service netip.AddrPort
-	isn           uint32
-	phase         phase
-	target        int    // whose SYN-ACK it took
-	peer          uint32 // that target's initial number
-	from          int    // who answered
-	resends       int
+	index           int
+	addr, service   netip.AddrPort
+	isn             uint32
+	phase           phase
+	target          int    // index of the target whose SYN-ACK it accepted, or -1
+	peer            uint32 // that target's initial sequence number
+	from            int    // index of the target that answered, or -1
+	retransmissions int
 }
 
 func newCaller(i int) *caller {
@@ -57,27 +58,28 @@
 
 func (c *caller) syn() []byte { return c.build(c.isn, 0, flagSyn, "") }
 
-// again repeats what the caller waits for an answer to.
-func (c *caller) again() []byte {
+// retransmission returns the packet that the caller is waiting to have answered.
+func (c *caller) retransmission() []byte {
 	if c.phase == established {
 		return c.data()
 	}
 	return c.syn()
 }
 
-// waiting reports whether the caller still waits for an answer.
+// waiting reports whether the caller expects an answer from the network.
 func (c *caller) waiting() bool { return c.phase == synSent || c.phase == established }
 
 func (c *caller) data() []byte { return c.build(c.isn+1, c.peer+1, flagAck|flagPsh, request) }
 
-// receive handles a packet that reached the caller and returns what it sends.
-// sender is the target that built it, or -1 for a balancer.
+// receive handles a packet that reached the caller and returns the packets that
+// the caller sends in response. The sender is the index of the target that
+// built the packet, or -1 for a balancer.
 func (c *caller) receive(seg *packet.Segment, sender int) [][]byte {
 	switch c.phase {
 	case synSent:
-		return c.opening(seg, sender)
+		return c.receiveSynSent(seg, sender)
 	case established:
-		return c.open(seg, sender)
+		return c.receiveEstablished(seg, sender)
 	case refused, idle:
 		if !seg.IsReset() {
 			return [][]byte{packet.ResetTo(seg)}
@@ -86,7 +88,8 @@
 	return nil
 }
 
-func (c *caller) opening(seg *packet.Segment, sender int) [][]byte {
+// receiveSynSent handles a packet while the caller waits for a SYN-ACK.
+func (c *caller) receiveSynSent(seg *packet.Segment, sender int) [][]byte {
 	switch {
 	case seg.IsReset():
 		if seg.HasAck() && seg.Ack == c.isn+1 {
@@ -103,7 +106,8 @@
 	return nil
 }
 
-func (c *caller) open(seg *packet.Segment, sender int) [][]byte {
+// receiveEstablished handles a packet while the caller waits for the answer.
+func (c *caller) receiveEstablished(seg *packet.Segment, sender int) [][]byte {
 	switch {
 	case seg.IsReset():
 		if seg.Seq == c.peer+1 {
@@ -123,34 +127,35 @@
 }
 
 func (c *caller) key() string {
-	return fmt.Sprintf("c%d %d %d %d %d;", c.phase, c.target, c.peer, c.from, c.resends)
+	return fmt.Sprintf("c%d %d %d %d %d;", c.phase, c.target, c.peer, c.from, c.retransmissions)
 }
 
-// target is one target's end of the connections that reach it.
+// target models the TCP stack and the server of one target.
 type target struct {
-	index  int
-	number uint32 // of its service
-	addr   netip.Addr
-	conns  map[netip.AddrPort]conn
-	runs   map[netip.AddrPort]int
-	closes bool // each connection after its answer
-	// bareAcks: it repeats no SYN-ACK at a repeated opening packet.
-	bareAcks bool
-	wrong    int // packets with another service's number that were accepted
+	index             int
+	number            uint32 // number of its service
+	addr              netip.Addr
+	conns             map[netip.AddrPort]conn // by caller
+	runs              map[netip.AddrPort]int  // executed requests by caller
+	closesAfterAnswer bool                    // closes each connection after its answer
+	// bareAcks makes it answer a retransmitted opening packet with a bare
+	// acknowledgement instead of a SYN-ACK.
+	bareAcks     bool
+	misdelivered int // packets received that carry another service's number
 }
 
 type conn struct {
-	caller uint32 // its initial number
-	open   bool
-	ran    bool
+	caller uint32 // the caller's initial sequence number
+	open   bool   // the handshake is complete
+	ran    bool   // the request was executed
 }
 
-// isn is the target's initial number towards any caller: different at each
-// target, as random numbers would be.
+// isn returns the target's initial sequence number, the same for every caller
+// but different at each target, as random numbers would be.
 func (t *target) isn() uint32 { return 1<<30 + uint32(t.index+1)<<26 }
 
-// receive handles a packet and returns the target's answers. Shed makes it
-// refuse an opening.
+// receive handles a packet and returns the target's answers. With shed, an
+// opening of a new connection is refused by a reset.
 func (t *target) receive(seg *packet.Segment, shed bool) [][]byte {
 	c, known := t.conns[seg.Src]
 	switch {
@@ -160,7 +165,7 @@
 		}
 		return nil
 	case seg.IsOpening():
-		return t.opening(seg, c, known, shed)
+		return t.receiveOpening(seg, c, known, shed)
 	case !known:
 		return [][]byte{packet.ResetTo(seg)}
 	case !c.open && seg.Ack != t.isn()+1:
@@ -177,13 +182,13 @@
 		t.runs[seg.Src]++
 	}
 	flags := flagAck | flagPsh
-	if t.closes {
+	if t.closesAfterAnswer {
 		flags |= flagFin
 	}
 	return [][]byte{packet.Build(seg.Dst, seg.Src, t.isn()+1, t.next(c), flags, []byte("done"))}
 }
 
-// next is the number that the target expects from the caller.
+// next returns the sequence number that the target expects from the caller.
 func (t *target) next(c conn) uint32 {
 	if c.ran {
 		return c.caller + 1 + uint32(len(request))
@@ -191,7 +196,7 @@
 	return c.caller + 1
 }
 
-func (t *target) opening(seg *packet.Segment, c conn, known, shed bool) [][]byte {
+func (t *target) receiveOpening(seg *packet.Segment, c conn, known, shed bool) [][]byte {
 	switch {
 	case known && (c.open || t.bareAcks && c.caller == seg.Seq):
 		return [][]byte{packet.Build(seg.Dst, seg.Src, t.isn()+1, t.next(c), flagAck, nil)}
@@ -202,9 +207,9 @@
 	return [][]byte{t.accept(seg.Dst, seg.Src, seg.Seq)}
 }
 
-// accept is the target's SYN-ACK to a caller's initial number.
+// accept returns the target's SYN-ACK for a caller's initial sequence number.
 func (t *target) accept(service, caller netip.AddrPort, isn uint32) []byte {
 	return packet.Build(service, caller, t.isn(), isn+1, flagSyn|flagAck, nil)
 }
 
-func (t *target) key() string { return fmt.Sprintf("t%v %v %d;", t.conns, t.runs, t.wrong) }
+func (t *target) key() string { return fmt.Sprintf("t%v %v %d;", t.conns, t.runs, t.misdelivered) }
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// step is one thing that can happen. Steps are replayed from the first state,
-// so that the router needs no way to copy itself.
+// step is one transition of the model. A state is reached by replaying its
+// steps from the initial state, because a router cannot be copied.
 type step struct {
-	kind   stepKind
-	flight int
-	index  int
+	kind    stepKind
+	message int // position in world.network
+	index   int // of the balancer, target or caller concerned
 }
 
 type stepKind int
@@ -18,25 +18,25 @@
 const (
 	stepDeliver stepKind = iota
 	stepLose
-	stepDouble
+	stepDuplicate
 	stepShed
 	stepTick
-	stepView
+	stepNextView
 	stepCrash
-	stepResend
+	stepRetransmit
 )
 
 // Report is the result of an exploration.
 type Report struct {
 	States    int
 	Depth     int
-	Complete  bool   // every state within the bounds was visited
-	Violation string // what was broken, or ""
-	Trace     []string
+	Complete  bool     // every state within the bounds was visited
+	Violation string   // the violated property, or ""
+	Trace     []string // steps that lead to the violation
 }
 
-// Explore visits the states within the bounds, shortest runs first, and stops
-// at the first violation.
+// Explore visits the states within the bounds breadth first and stops at the
+// first violation, whose trace is therefore a shortest one.
 func Explore(b Bounds) Report {
 	seen := map[[sha256.Size]byte]bool{}
 	level := [][]step{nil}
@@ -72,18 +72,18 @@
 func replay(b Bounds, path []step) *world {
 	w := newWorld(b)
 	for _, s := range path {
-		w.take(s)
+		w.apply(s)
 	}
 	return w
 }
 
-// steps lists what can happen next. Of equal packets in flight only the first
-// is considered.
+// steps returns the transitions that are possible in this state. Of identical
+// messages in flight only the first is considered.
 func (w *world) steps() []step {
 	var out []step
 	seen := map[string]bool{}
-	for i := range w.net {
-		f := &w.net[i]
+	for i := range w.network {
+		f := &w.network[i]
 		k := f.key()
 		if seen[k] {
 			continue
@@ -93,44 +93,45 @@
 		if w.budget.Losses > 0 {
 			out = append(out, step{stepLose, i, 0})
 		}
-		if w.budget.Doubles > 0 && f.where != handover {
-			out = append(out, step{stepDouble, i, 0})
+		if w.budget.Duplicates > 0 && f.leg != handover {
+			out = append(out, step{stepDuplicate, i, 0})
 		}
 	}
 	for i, b := range w.balancers {
 		if b.dead {
 			continue
 		}
-		if b.ticks < w.b.Ticks {
+		if b.ticks < w.bounds.Ticks {
 			out = append(out, step{stepTick, 0, i})
 		}
-		if b.view < w.b.views() {
-			out = append(out, step{stepView, 0, i})
+		if b.view < w.bounds.views() {
+			out = append(out, step{stepNextView, 0, i})
 		}
 		if w.budget.Crashes > 0 {
 			out = append(out, step{stepCrash, 0, i})
 		}
 	}
 	for i, c := range w.callers {
-		if c.resends < w.b.Resends && c.waiting() {
-			out = append(out, step{stepResend, 0, i})
+		if c.retransmissions < w.bounds.Retransmissions && c.waiting() {
+			out = append(out, step{stepRetransmit, 0, i})
 		}
 	}
 	return out
 }
 
-func (w *world) deliveries(i int, f *flight) []step {
-	switch f.where {
-	case toFabric, answering:
+// deliveries returns the steps by which message i can reach a receiver.
+func (w *world) deliveries(i int, f *message) []step {
+	switch f.leg {
+	case callerToFabric, targetToFabric:
 		var out []step
 		for j, b := range w.balancers {
-			// The fabric sends nothing to those that do not serve yet.
-			if !b.dead && j < w.b.serving(b.view) {
+			// The fabric sends nothing to balancers that do not serve yet.
+			if !b.dead && j < w.bounds.serving(b.view) {
 				out = append(out, step{stepDeliver, i, j})
 			}
 		}
 		return out
-	case toTarget:
+	case balancerToTarget:
 		out := []step{{stepDeliver, i, f.index}}
 		if w.budget.Sheds > 0 {
 			out = append(out, step{stepShed, i, f.index})
@@ -140,48 +141,48 @@
 	return []step{{stepDeliver, i, f.index}}
 }
 
-func (w *world) take(s step) {
+func (w *world) apply(s step) {
 	switch s.kind {
 	case stepTick:
 		w.tick(s.index)
 		return
-	case stepView:
+	case stepNextView:
 		w.setView(s.index, w.balancers[s.index].view+1)
 		return
 	case stepCrash:
 		w.budget.Crashes--
 		w.balancers[s.index].dead = true
 		return
-	case stepResend:
-		w.resend(w.callers[s.index])
+	case stepRetransmit:
+		w.retransmit(w.callers[s.index])
 		return
 	}
-	f := w.net[s.flight]
-	if s.kind == stepDouble {
-		w.budget.Doubles--
-		w.net = append(w.net, f)
+	f := w.network[s.message]
+	if s.kind == stepDuplicate {
+		w.budget.Duplicates--
+		w.network = append(w.network, f)
 		return
 	}
-	w.net = append(w.net[:s.flight:s.flight], w.net[s.flight+1:]...)
+	w.network = append(w.network[:s.message:s.message], w.network[s.message+1:]...)
 	switch s.kind {
 	case stepLose:
 		w.budget.Losses--
 	case stepShed:
 		w.budget.Sheds--
-		w.atTarget(f, true)
+		w.deliverToTarget(f, true)
 	case stepDeliver:
-		w.arrive(s.index, f)
+		w.deliver(s.index, f)
 	}
 }
 
-func (w *world) arrive(i int, f flight) {
-	switch f.where {
-	case toTarget:
-		w.atTarget(f, false)
-	case toCaller:
-		w.atCaller(f)
+func (w *world) deliver(i int, f message) {
+	switch f.leg {
+	case balancerToTarget:
+		w.deliverToTarget(f, false)
+	case balancerToCaller:
+		w.deliverToCaller(f)
 	default:
-		w.deliver(i, f)
+		w.deliverToBalancer(i, f)
 	}
 }
 
@@ -192,15 +193,15 @@
 	w.out.Reset()
 	b.r.Alive(b.now)
 	b.r.Tick(b.now, &w.out)
-	w.apply(-1)
+	w.sendOutput(-1)
 }
 
-func (w *world) resend(c *caller) {
-	c.resends++
-	w.send(flight{where: toFabric, sender: -1, b: c.again()})
+func (w *world) retransmit(c *caller) {
+	c.retransmissions++
+	w.send(message{leg: callerToFabric, sender: -1, b: c.retransmission()})
 }
 
-// trace describes a path for people.
+// trace returns a path as text, one line for each step.
 func trace(b Bounds, path []step) []string {
 	w := newWorld(b)
 	names := [...]string{"deliver", "lose", "double", "shed", "tick", "new view at", "crash of", "resend by caller"}
@@ -208,11 +209,11 @@
 	for _, s := range path {
 		text := fmt.Sprintf("%s %d", names[s.kind], s.index)
 		if s.kind <= stepShed {
-			f := w.net[s.flight]
+			f := w.network[s.message]
 			text = fmt.Sprintf("%s to %d: %s", names[s.kind], s.index, describe(&f))
 		}
 		out = append(out, text)
-		w.take(s)
+		w.apply(s)
 	}
 	return out
 }
--- a/internal/model/random_test.go
+++ b/internal/model/random_test.go
@@ -12,22 +12,22 @@
 
 const maxRandomSteps = 250
 
-// drawBounds draws a deployment that is larger than what can be explored.
+// drawBounds draws a deployment too large for exhaustive exploration.
 func drawBounds(t *rapid.T) Bounds {
 	n := func(label string, low, high int) int { return rapid.IntRange(low, high).Draw(t, label) }
 	classes := []catalogue.Class{catalogue.Stream, catalogue.Request, catalogue.Urgent}
 	b := Bounds{
-		Balancers: n("balancers", 2, 4),
-		Targets:   n("targets", 1, 4),
-		Callers:   n("callers", 1, 6),
-		Slots:     n("slots", 1, 2),
-		Losses:    n("losses", 0, 6),
-		Doubles:   n("doubles", 0, 4),
-		Sheds:     n("sheds", 0, 4),
-		Ticks:     n("ticks", 0, 20),
-		Resends:   n("resends", 0, 4),
-		Class:     rapid.SampledFrom(classes).Draw(t, "class"),
-		BareAcks:  rapid.Bool().Draw(t, "bare acks"),
+		Balancers:       n("balancers", 2, 4),
+		Targets:         n("targets", 1, 4),
+		Callers:         n("callers", 1, 6),
+		Slots:           n("slots", 1, 2),
+		Losses:          n("losses", 0, 6),
+		Duplicates:      n("doubles", 0, 4),
+		Sheds:           n("sheds", 0, 4),
+		Ticks:           n("ticks", 0, 20),
+		Retransmissions: n("resends", 0, 4),
+		Class:           rapid.SampledFrom(classes).Draw(t, "class"),
+		BareAcks:        rapid.Bool().Draw(t, "bare acks"),
 	}
 	b.Joins = n("joins", 0, min(2, b.Balancers-1))
 	b.Drains = n("drains", 0, b.Targets-1)
@@ -35,25 +35,26 @@
 	return b
 }
 
-// Several callers share slots while balancers join, die and see views at
-// different times, targets drain and shed, and packets are lost, doubled and
-// reordered. No caller is cut, refused after having run, or run twice; when
-// the trouble ends every caller gets an answer.
+// Several callers share slots while balancers join, crash and apply views at
+// different times, targets drain and refuse openings, and packets are lost,
+// duplicated and reordered. No connection may be cut, no request may run twice
+// or be refused after it ran, and every caller must get an answer once the
+// faults end.
 func TestRandomRunsKeepThePromises(t *testing.T) {
 	rapid.Check(t, randomRun)
 }
 
-// regressions are the seeds of single runs that ever failed.
+// regressions lists rapid seeds whose single run violated a property, with the fault.
 var regressions = []uint64{
-	3284,      // a request lost once behind the home made its flow silent
-	50179,     // a rejected acceptance's reset overtook a further copy of its opening
-	381390972, // the same after an opening was forgotten
+	3284,      // one request lost between home and target made its flow count as silent
+	50179,     // the reset for a rejected acceptance overtook another copy of its opening
+	381390972, // as 50179, after the flow entry of an opening had been removed
 	95272,     // a flow whose answer was lost counted as silent
-	1305,      // a home corrected others to an acceptance that the caller had not confirmed
-	3161356,   // a former home rejected the acceptance that it waited for
+	1305,      // a home corrected other balancers to an acceptance that the caller had not confirmed
+	3161356,   // a former home rejected the acceptance that it was waiting for
 }
 
-// Runs that broke a promise once keep it.
+// Repeats single random runs that violated a property before a fault was fixed.
 func TestRunsThatEverFailed(t *testing.T) {
 	for _, seed := range regressions {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// setFlag sets a flag for the time of a test.
+// setFlag sets a command-line flag and restores it when the test ends.
 func setFlag(t *testing.T, name, value string) {
 	t.Helper()
 	before := flag.Lookup(name).Value.String()
@@ -87,17 +88,17 @@
 		}
 		s := steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]
 		if s.kind <= stepShed {
-			t.Logf("step %d: %d to %d: %s", s.kind, s.flight, s.index, describe(&w.net[s.flight]))
+			t.Logf("step %d: %d to %d: %s", s.kind, s.message, s.index, describe(&w.network[s.message]))
 		} else {
 			t.Logf("step %d at %d", s.kind, s.index)
 		}
-		w.take(s)
+		w.apply(s)
 		if v := w.violation(); v != "" {
 			w.logResets(t.Logf)
 			t.Fatal(v)
 		}
 	}
-	if v := w.settle(t.Logf); v != "" {
+	if v := w.checkLiveness(t.Logf); v != "" {
 		w.logResets(t.Logf)
 		t.Fatal(v)
 	}
--- a/internal/model/violation.go
+++ b/internal/model/violation.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// violation returns what the state breaks, or "".
+// violation returns the safety property that the state violates, or "".
 func (w *world) violation() string {
 	for _, t := range w.targets {
-		if t.wrong > 0 {
+		if t.misdelivered > 0 {
 			return "a packet reached another service"
 		}
 		if n, limit := w.inUse(t), w.slotLimit(); n > limit {
@@ -32,14 +32,15 @@
 		return "the request was refused but run"
 	case c.phase == answered && c.from != c.target:
 		return "the answer came from another target"
-	case c.phase == broken && w.b.Crashes == w.budget.Crashes:
+	case c.phase == broken && w.bounds.Crashes == w.budget.Crashes:
 		return "an established flow was reset"
 	}
 	return ""
 }
 
-// inUse counts the accepted requests of a target that it has not run yet. A
-// home that sees one answered may admit the next before the caller hears.
+// inUse returns the number of accepted requests that a target has not run yet.
+// Requests that ran do not count: their home may admit the next one as soon as
+// it sees the answer, before the caller receives it.
 func (w *world) inUse(t *target) int {
 	n := 0
 	for _, c := range w.callers {
@@ -50,13 +51,13 @@
 	return n
 }
 
-// slotLimit is how many requests may overlap at a target. Each change of homes
-// adds two balancers that may admit up to the limit without knowing of each
-// other: the new home before the handover arrives, and the former one after it,
-// where another's older view makes it decide.
+// slotLimit returns how many requests may overlap at a target. Each change of
+// homes adds two balancers that may admit up to the limit without knowing of each
+// other: the new home before the handover arrives, and the former home after
+// the handover, for openings that a balancer with an older view forwards.
 func (w *world) slotLimit() int {
-	if !w.b.Class.UsesSlots() {
-		return w.b.Callers
+	if !w.bounds.Class.UsesSlots() {
+		return w.bounds.Callers
 	}
-	return w.b.Slots * (1 + 2*(w.b.Joins+w.b.Crashes))
+	return w.bounds.Slots * (1 + 2*(w.bounds.Joins+w.bounds.Crashes))
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -1,8 +1,8 @@
-// Package model explores the core protocol exhaustively within bounds: a few
-// balancers that run the real router, targets and a caller reduced to what TCP
-// decides, and a network that loses, doubles and reorders packets and hands
-// each to any balancer, while views change at different moments and balancers
-// die. docs/spec/core.md states what is checked.
+// Package model is a bounded model checker for the core protocol. A few
+// balancers run the real router; targets and callers are reduced to their TCP
+// state machines. The network loses, duplicates and reorders packets and may
+// deliver each to any balancer, while balancers change views at different times
+// and crash. docs/spec/core.md states the checked properties.
 package model
 
 import (
@@ -21,26 +21,26 @@
 	"rosedale.dev/rosedale/internal/router"
 )
 
-// Bounds limits what may happen in one run of the model.
+// Bounds limits the size of the deployment and the number of faults in one run.
 type Bounds struct {
-	Balancers int
-	Targets   int
-	Losses    int
-	Doubles   int
-	Ticks     int // for each balancer, of tickStep
-	Resends   int // of the caller
-	Sheds     int
-	Crashes   int
-	Joins     int // the last balancers join one by one, seen at different times
-	Depth     int
-	States    int // stop after this many
-	Class     catalogue.Class
-	Callers   int  // 1 if zero
-	Slots     int  // of each target, 2 if zero
-	Drains    int  // the first targets drain one by one, seen at different times
-	BareAcks  bool // targets answer repeated openings with bare acknowledgements
-	Alone     bool // a broken variant: no balancer knows of the others
-	Hasty     bool // a broken variant: a target is reset as soon as its SYN-ACK is dropped
+	Balancers         int
+	Targets           int
+	Losses            int
+	Duplicates        int
+	Ticks             int // of tickStep, for each balancer
+	Retransmissions   int // of each caller
+	Sheds             int
+	Crashes           int
+	Joins             int // the last balancers join one by one, with the views
+	Depth             int
+	States            int // stop after this number of states
+	Class             catalogue.Class
+	Callers           int  // 1 if zero
+	Slots             int  // of each target, 2 if zero
+	Drains            int  // the first targets drain one by one, with the views
+	BareAcks          bool // targets answer retransmitted openings with bare acknowledgements
+	NoPeers           bool // broken variant: no balancer knows any other
+	ResetOnLateAccept bool // broken variant: a target is reset as soon as its SYN-ACK is dropped
 }
 
 func (b Bounds) defaults() Bounds {
@@ -51,51 +51,52 @@
 	return b
 }
 
-// views is the number of changes of the view.
+// views returns the number of view changes.
 func (b Bounds) views() int { return max(b.Joins, b.Drains) }
 
-// serving is how many balancers serve in view n.
+// serving returns the number of balancers that serve in view n.
 func (b Bounds) serving(n int) int { return b.Balancers - b.Joins + min(n, b.Joins) }
 
 const (
 	tickStep = 260 * time.Millisecond
 	deadline = 2 * time.Second
 	service  = 101
-	// maxFlows is far more than a run's flows, which share few parts of the table.
+	// maxFlows is far more than the flows of a run, because they are spread over
+	// few parts of the table.
 	maxFlows = 1 << 16
 )
 
 var serviceAddress = netip.MustParseAddrPort("203.0.113.10:80")
 
-// where a packet in flight is going.
-type where int
+// leg is the part of its path that a message is on.
+type leg int
 
 const (
-	toFabric  where = iota // from the caller: any balancer may get it
-	fromPeer               // to the balancer index
-	toTarget               // to the target index
-	answering              // from the target index: any balancer may get it
-	toCaller
-	handover // to the balancer index
+	callerToFabric     leg = iota // any balancer may receive it
+	balancerToBalancer            // index is the receiving balancer
+	balancerToTarget              // index is the target
+	targetToFabric                // index is the target; any balancer may receive it
+	balancerToCaller
+	handover // index is the receiving balancer
 )
 
-// flight is a packet or handover in flight.
-type flight struct {
-	where  where
+// message is a packet or handover in flight.
+type message struct {
+	leg    leg
 	index  int
 	vni    uint32
 	hop    geneve.Hop
 	hasHop bool
-	sender int // the target that built it, -1 otherwise
+	sender int // index of the target that built the packet, or -1
 	b      []byte
 	moved  []router.Moved
 }
 
-func (f *flight) key() string {
-	return fmt.Sprintf("%d %d %d %v %d %x %v", f.where, f.index, f.vni, f.hop, f.sender, f.b, f.moved)
+func (f *message) key() string {
+	return fmt.Sprintf("%d %d %d %v %d %x %v", f.leg, f.index, f.vni, f.hop, f.sender, f.b, f.moved)
 }
 
-// balancer is a router with its own clock and its own view.
+// balancer is a router with its own clock and view.
 type balancer struct {
 	r        *router.Router
 	now      time.Duration
@@ -103,8 +104,8 @@
 	ticks    int
 	dead     bool
 	answered []*atomic.Int64 // by target identifier
-	// sawDeaths: its view leaves dead balancers out.
-	sawDeaths bool
+	// excludesDead makes its view leave out dead balancers.
+	excludesDead bool
 }
 
 func newBalancer(targets int) *balancer {
@@ -115,27 +116,27 @@
 	return b
 }
 
-// world is one state of the model.
+// world is one state of the model: all endpoints, and the messages in flight.
 type world struct {
-	b         Bounds
+	bounds    Bounds
 	balancers []*balancer
 	targets   []*target
 	callers   []*caller
-	net       []flight
-	budget    Bounds // what is left
+	network   []message
+	budget    Bounds // faults still available
 	out       router.Output
 }
 
 func newWorld(b Bounds) *world {
 	b = b.defaults()
-	w := &world{b: b, budget: b}
+	w := &world{bounds: b, budget: b}
 	for i := range b.Callers {
 		w.callers = append(w.callers, newCaller(i))
 	}
 	for i := range b.Targets {
 		w.targets = append(w.targets, &target{
 			index: i, number: service, addr: netip.AddrFrom4([4]byte{127, 10, 1, byte(i + 1)}),
-			conns: map[netip.AddrPort]conn{}, runs: map[netip.AddrPort]int{}, closes: b.Class.UsesSlots(), bareAcks: b.BareAcks,
+			conns: map[netip.AddrPort]conn{}, runs: map[netip.AddrPort]int{}, closesAfterAnswer: b.Class.UsesSlots(), bareAcks: b.BareAcks,
 		})
 	}
 	for range b.Balancers {
@@ -146,7 +147,7 @@
 	}
 	for _, c := range w.callers {
 		c.phase = synSent
-		w.send(flight{where: toFabric, sender: -1, b: c.syn()})
+		w.send(message{leg: callerToFabric, sender: -1, b: c.syn()})
 	}
 	return w
 }
@@ -155,58 +156,58 @@
 
 func nodeAddr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 10, 0, byte(i + 1)}) }
 
-func (w *world) send(f flight) { w.net = append(w.net, f) }
+func (w *world) send(f message) { w.network = append(w.network, f) }
 
-// deliver hands a packet to balancer i.
-func (w *world) deliver(i int, f flight) {
+// deliverToBalancer hands a packet to balancer i.
+func (w *world) deliverToBalancer(i int, f message) {
 	b := w.balancers[i]
 	if b.dead {
 		return
 	}
 	w.out.Reset()
-	if f.where == handover {
+	if f.leg == handover {
 		b.r.Take(b.now, f.moved, &w.out)
-		w.apply(f.sender)
+		w.sendOutput(f.sender)
 		return
 	}
 	d := geneve.Datagram{VNI: f.vni, Hop: f.hop, HasHop: f.hasHop, Inner: f.b}
 	src := netip.MustParseAddr("127.0.9.1")
-	if f.where == answering {
+	if f.leg == targetToFabric {
 		src = w.targets[f.index].addr
 	}
 	b.r.Alive(b.now)
 	dropped := b.r.Count(router.DropLateAccept)
 	b.r.Handle(b.now, src, &d, &w.out)
-	w.apply(f.sender)
-	if w.b.Hasty && b.r.Count(router.DropLateAccept) > dropped {
+	w.sendOutput(f.sender)
+	if w.bounds.ResetOnLateAccept && b.r.Count(router.DropLateAccept) > dropped {
 		w.resetSender(&f)
 	}
 }
 
 // resetSender resets the target that sent a SYN-ACK.
-func (w *world) resetSender(f *flight) {
+func (w *world) resetSender(f *message) {
 	if seg, err := packet.Parse(f.b); err == nil {
-		w.send(flight{where: toTarget, index: f.sender, vni: service, sender: -1, b: packet.ResetTo(&seg)})
+		w.send(message{leg: balancerToTarget, index: f.sender, vni: service, sender: -1, b: packet.ResetTo(&seg)})
 	}
 }
 
-// apply puts a router's actions on the network. Packets that a router built
-// itself have no target as their sender.
-func (w *world) apply(sender int) {
+// sendOutput puts the actions in w.out on the network. The sender is the target
+// whose packet the router handled, or -1.
+func (w *world) sendOutput(sender int) {
 	for _, a := range w.out.Actions {
-		f := flight{vni: a.VNI, sender: sender, b: append([]byte(nil), a.Packet...)}
+		f := message{vni: a.VNI, sender: sender, b: append([]byte(nil), a.Packet...)}
 		switch a.To {
 		case router.ToCaller:
-			f.where = toCaller
+			f.leg = balancerToCaller
 		case router.ToTarget:
-			f.where = toTarget
+			f.leg = balancerToTarget
 			for _, t := range w.targets {
 				if t.addr == a.Target {
 					f.index = t.index
 				}
 			}
 		case router.ToPeer:
-			f.where, f.hop, f.hasHop = fromPeer, a.Hop, true
+			f.leg, f.hop, f.hasHop = balancerToBalancer, a.Hop, true
 			for j := range w.balancers {
 				if nodeAddr(j) == a.Peer.Addr() {
 					f.index = j
@@ -217,10 +218,10 @@
 	}
 }
 
-func (w *world) atTarget(f flight, shed bool) {
+func (w *world) deliverToTarget(f message, shed bool) {
 	t := w.targets[f.index]
 	if f.vni != t.number {
-		t.wrong++
+		t.misdelivered++
 		return
 	}
 	seg, err := packet.Parse(f.b)
@@ -228,11 +229,11 @@
 		return
 	}
 	for _, b := range t.receive(&seg, shed) {
-		w.send(flight{where: answering, index: t.index, vni: t.number, sender: t.index, b: b})
+		w.send(message{leg: targetToFabric, index: t.index, vni: t.number, sender: t.index, b: b})
 	}
 }
 
-func (w *world) atCaller(f flight) {
+func (w *world) deliverToCaller(f message) {
 	seg, err := packet.Parse(f.b)
 	if err != nil {
 		return
@@ -242,12 +243,12 @@
 			continue
 		}
 		for _, b := range c.receive(&seg, f.sender) {
-			w.send(flight{where: toFabric, sender: -1, b: b})
+			w.send(message{leg: callerToFabric, sender: -1, b: b})
 		}
 	}
 }
 
-// key identifies the state.
+// key returns a hash of the state, by which visited states are recognised.
 func (w *world) key() [sha256.Size]byte {
 	h := sha256.New()
 	for _, b := range w.balancers {
@@ -263,12 +264,12 @@
 		_, _ = io.WriteString(h, c.key())
 	}
 	var ks []string
-	for i := range w.net {
-		ks = append(ks, w.net[i].key())
+	for i := range w.network {
+		ks = append(ks, w.network[i].key())
 	}
 	sort.Strings(ks)
 	_, _ = io.WriteString(h, strings.Join(ks, "\n"))
 	l := w.budget
-	_, _ = fmt.Fprintf(h, "l%d %d %d %d %d %d", l.Losses, l.Doubles, l.Resends, l.Sheds, l.Crashes, l.Joins)
+	_, _ = fmt.Fprintf(h, "l%d %d %d %d %d %d", l.Losses, l.Duplicates, l.Retransmissions, l.Sheds, l.Crashes, l.Joins)
 	return [sha256.Size]byte(h.Sum(nil))
 }
