--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -63,8 +63,8 @@
 	return b.LoseStreams(most.Target, SilentStreams)
 }
 
-// Named returns the scenario of a name with another duration.
-func Named(name string, d time.Duration) Scenario {
+// ScenarioByName returns the scenario of a name with another duration.
+func ScenarioByName(name string, d time.Duration) Scenario {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			s.Duration = d
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -13,7 +13,7 @@
 // operator's edit must be in force there as soon as elsewhere, through the
 // balancers of the other data centres.
 func TestVersionsReachACentreWithoutPlatform(t *testing.T) {
-	sc := experiment.Named("steady", 8*time.Second)
+	sc := experiment.ScenarioByName("steady", 8*time.Second)
 	sc.Act = func(bed *testbed.Bed, o *experiment.Outcome) error {
 		cut := faultproxy.Faults{Platform: bed.DataCenters()[:1]}
 		if err := bed.SetProxy(cut); err != nil {
--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -12,7 +12,7 @@
 // run runs a scenario and checks what must always hold.
 func run(t *testing.T, name, deployment string, d time.Duration) *experiment.Outcome {
 	t.Helper()
-	sc := experiment.Named(name, d)
+	sc := experiment.ScenarioByName(name, d)
 	o, err := experiment.RunScenario(sc, experiment.Options{Deployment: deployment, Policy: "bounded", Streams: 100})
 	if err != nil {
 		t.Fatal(err)
--- a/test/targets_test.go
+++ b/test/targets_test.go
@@ -18,7 +18,7 @@
 // all still open.
 func TestDrainedTargetGetsNoNewFlows(t *testing.T) {
 	var after, end target.Stats
-	sc := experiment.Named("steady", 13*time.Second)
+	sc := experiment.ScenarioByName("steady", 13*time.Second)
 	sc.Act = func(bed *testbed.Bed, o *experiment.Outcome) error {
 		svc := bed.Service("catalogue")
 		svc.Targets[0].State = catalogue.Draining
@@ -66,7 +66,7 @@
 // operator drains all its targets. Streams that it has go on; new requests are
 // served by the other data centres' targets, and no caller notices.
 func TestFlowsSpillToAnotherGroup(t *testing.T) {
-	sc := experiment.Named("steady", 12*time.Second)
+	sc := experiment.ScenarioByName("steady", 12*time.Second)
 	sc.SlotUse = 0.2
 	sc.Act = func(bed *testbed.Bed, o *experiment.Outcome) error {
 		first := bed.DataCenters()[0]
