--- a/internal/experiment/account.go
+++ b/internal/experiment/account.go
@@ -15,8 +15,8 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// Account prints, for each report that is named, which disturbance the late and failed
-// requests of the day fall to.
+// Account prints, for each of the report files, the late and failed requests of the day
+// by the disturbance that they are attributed to.
 func Account(_ context.Context, files []string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "day\tworth\tfailed\tlate\tfailed and late, by what had begun last")
@@ -31,48 +31,50 @@
 	return w.Flush()
 }
 
-// loss is what callers lost to one kind of disturbance.
+// loss counts the requests that one kind of disturbance made fail or late.
 type loss struct{ failed, late int }
 
 const (
-	// windowLength is that of a report's windows.
+	// windowLength is the length of a window in a report.
 	windowLength = 2 * time.Second
-	// aftermath is how long a disturbance may show after its end: callers' deadlines.
-	aftermath = 3 * time.Second
-	// noDisturbance names losses at a time when nothing else was wrong.
+	// effectAfterEnd is how long after its end a disturbance may still have effects. It
+	// covers the callers' deadlines.
+	effectAfterEnd = 3 * time.Second
+	// noDisturbance is the kind of losses to which no disturbance can be assigned.
 	noDisturbance = "nothing under way"
 )
 
-// losses attributes each window's late and failed requests to the disturbance that had
-// begun last and was not long over, an unplanned one if there is any.
+// losses attributes each window's late and failed requests to one disturbance, see causeOf.
 func losses(r platform.Report) map[string]loss {
 	out := map[string]loss{}
 	for _, w := range r.Windows {
 		if w.Late+w.Failed == 0 {
 			continue
 		}
-		kind := blamed(r.Events, w.From, w.From+windowLength)
+		kind := causeOf(r.Events, w.From, w.From+windowLength)
 		l := out[kind]
 		out[kind] = loss{l.failed + w.Failed, l.late + w.Late}
 	}
 	return out
 }
 
-func blamed(events []platform.Event, from, to time.Duration) string {
-	var best *platform.Event
+// causeOf returns the kind of the disturbance that began last among those with effects in
+// the time between from and to. Unplanned disturbances go before planned ones.
+func causeOf(events []platform.Event, from, to time.Duration) string {
+	var cause *platform.Event
 	for i := range events {
 		e := &events[i]
-		if e.From >= to || e.To+aftermath < from {
+		if e.From >= to || e.To+effectAfterEnd < from {
 			continue
 		}
-		if best == nil || best.Planned && !e.Planned || best.Planned == e.Planned && e.From > best.From {
-			best = e
+		if cause == nil || cause.Planned && !e.Planned || cause.Planned == e.Planned && e.From > cause.From {
+			cause = e
 		}
 	}
-	if best == nil {
+	if cause == nil {
 		return noDisturbance
 	}
-	return best.Kind
+	return cause.Kind
 }
 
 func describeLosses(all map[string]loss) string {
--- a/internal/experiment/account_test.go
+++ b/internal/experiment/account_test.go
@@ -9,8 +9,8 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// A day's losses go to what had begun last, and to a fault rather than to planned work
-// beside it; what is lost long after everything is over has no cause.
+// Losses are attributed to the disturbance that began last, and to a fault rather than to
+// planned work at the same time. Losses long after the last disturbance have no cause.
 func TestLosses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.json")
 	text := `{"G":0.9,"all":{"n":40,"late":6,"refused":1,"failed":4},
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -18,14 +18,14 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// capacityColumns are the columns of the rows that Capacity writes.
+// capacityColumns is the header of the CSV files that Capacity writes.
 var capacityColumns = []string{
 	"daemons", "services", "addresses", "endpoints", "control_bytes_per_s", "messages_per_s",
 	"cpu_share", "rss_mb", "store_calls_per_s", "in_force_p50_ms", "in_force_max_ms", "start_s", "start_store_calls", "start_bytes",
 }
 
-// Capacity measures how a daemon's cost grows with the number of daemons and
-// with the catalogue, and writes the rows and their plots.
+// Capacity measures how the cost of one daemon grows with the number of daemons
+// and with the size of the catalogue, and writes CSV files and plots.
 func Capacity(_ context.Context, args []string) error {
 	fs := flag.NewFlagSet("capacity", flag.ContinueOnError)
 	dir := fs.String("dir", "docs/capacity", "folder for rows and plots")
@@ -39,15 +39,15 @@
 		return errors.Wrap(err, "capacity")
 	}
 	var fleetRows, catalogueRows []capacityRow
-	for _, n := range numbers(*fleets) {
-		r, err := measureFleet(n, synthetic(20), *window)
+	for _, n := range parseNumbers(*fleets) {
+		r, err := measureFleet(n, syntheticCatalogue(20), *window)
 		if err != nil {
 			return err
 		}
 		fleetRows = append(fleetRows, r)
 	}
-	for _, n := range numbers(*catalogues) {
-		r, err := measureFleet(defaultFleet, synthetic(n), *window)
+	for _, n := range parseNumbers(*catalogues) {
+		r, err := measureFleet(defaultFleet, syntheticCatalogue(n), *window)
 		if err != nil {
 			return err
 		}
@@ -67,11 +67,12 @@
 
 const (
 	defaultFleet = 7
-	// perService addresses make the target's 1,300 addresses of 650 services.
-	perService = 2
+	// addressesPerService follows from the required size: 1,300 addresses of 650 services.
+	addressesPerService = 2
 )
 
-func numbers(s string) []int {
+// parseNumbers parses a comma-separated list and skips what is not a number.
+func parseNumbers(s string) []int {
 	var out []int
 	for _, f := range strings.Split(s, ",") {
 		if n, err := strconv.Atoi(f); err == nil {
@@ -81,13 +82,13 @@
 	return out
 }
 
-// synthetic returns a catalogue with n addresses and, as in the target sizes,
-// about five endpoints for each address, in three data centres.
-func synthetic(n int) []*catalogue.Service {
+// syntheticCatalogue returns a catalogue with n addresses and, as in the required sizes,
+// five endpoints for each address, in three data centres.
+func syntheticCatalogue(n int) []*catalogue.Service {
 	const endpoints = 10 // for each service
 	dcs := []string{"vault-a", "scan-hall", "annex-b"}
 	var out []*catalogue.Service
-	for i := range n / perService {
+	for i := range n / addressesPerService {
 		s := &catalogue.Service{
 			Name: fmt.Sprintf("service-%d", i), Owner: "capacity", Number: uint32(1000 + i),
 			BrokenFlowWeight: 0.5, Limits: catalogue.Limits{Slots: 2, Connections: 2000},
@@ -109,14 +110,14 @@
 	return out
 }
 
-// capacityRow is one measurement of all daemons; figures are means over them.
+// capacityRow is one measurement of a fleet; figures are means over its daemons.
 type capacityRow struct {
 	Daemons, Services, Addresses, Endpoints int
 	ControlBS, Messages, CPU, RSS, StoreRPS float64
 	InForceP50, InForceMax                  time.Duration
 	Start                                   time.Duration
 	StartCalls                              int
-	StartBytes                              float64 // control bytes until ready, for each daemon
+	StartBytes                              float64 // control bytes until ready, per daemon
 }
 
 func (r capacityRow) fields() []string {
@@ -129,6 +130,7 @@
 	}
 }
 
+// measureFleet starts n daemons with a catalogue and measures them for the window.
 func measureFleet(n int, services []*catalogue.Service, window time.Duration) (capacityRow, error) {
 	row := capacityRow{Daemons: n, Services: len(services)}
 	for _, s := range services {
@@ -142,10 +144,10 @@
 		return row, err
 	}
 	defer bed.Stop()
-	if err := row.started(bed); err != nil {
+	if err := row.measureStart(bed); err != nil {
 		return row, err
 	}
-	// The news of n starts goes round on heartbeats for about n seconds.
+	// Heartbeats carry the membership updates of n starts for about n seconds.
 	time.Sleep(max(window/2, time.Duration(n)*time.Second))
 	m := newMeter(bed)
 	if err := m.begin(); err != nil {
@@ -171,8 +173,8 @@
 	return row, nil
 }
 
-// started measures what the start of all daemons at once cost.
-func (r *capacityRow) started(bed *testbed.Bed) error {
+// measureStart fills in the cost of starting all daemons at once.
+func (r *capacityRow) measureStart(bed *testbed.Bed) error {
 	r.Start = bed.ReadyAfter
 	calls, err := bed.StoreCalls()
 	if err != nil {
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -14,8 +14,8 @@
 )
 
 // Demo runs a deployment, replaces every balancer while a target drains and
-// the catalogue is edited, and prints what the callers saw. It fails if any
-// promise was broken.
+// the catalogue is edited, and prints the callers' results. It returns an error
+// if the outcome violates any promise.
 func Demo(_ context.Context, args []string) error {
 	fs := flag.NewFlagSet("demo", flag.ContinueOnError)
 	deployment := fs.String("deployment", "kavango", "kavango or saryarka")
@@ -33,7 +33,7 @@
 	}
 	defer bed.Stop()
 	l := Load{Streams: *streams, SlotUse: 0.5, WorkMS: 60, Gap: 200 * time.Millisecond, Duration: *length}
-	o, err := Run(bed, Scenario{Name: "demo", Outside: []int{0}, Act: RollingReplacement}, l)
+	o, err := Run(bed, Scenario{Name: "demo", Excluded: []int{0}, Act: RollingReplacement}, l)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/departure.go
+++ b/internal/experiment/departure.go
@@ -9,7 +9,7 @@
 	target uint32
 }
 
-// departures is a heap of departures, the next one first.
+// departures is a heap of departures, ordered by time.
 type departures []departure
 
 func (d departures) Len() int           { return len(d) }
--- a/internal/experiment/edit.go
+++ b/internal/experiment/edit.go
@@ -17,8 +17,8 @@
 	inForcePoll  = 5 * time.Millisecond
 )
 
-// Edit writes an entry and measures when each running balancer has it in
-// force.
+// Edit writes an entry and records in o how long each running balancer takes
+// until the entry is in force.
 func Edit(bed *testbed.Bed, s *catalogue.Service, o *Outcome) error {
 	began := time.Now()
 	if err := bed.PutService(s); err != nil {
@@ -51,11 +51,13 @@
 	}
 	wg.Wait()
 	if late > 0 {
-		return errors.Errorf("experiment: %d balancers did not take the change within %v", late, inForceLimit)
+		return errors.Errorf("experiment: %d balancers did not apply the change within %v", late, inForceLimit)
 	}
 	return nil
 }
 
+// waitVersion waits until a balancer has an entry in force that is at least as new as
+// index. It returns the time since began, and false after inForceLimit.
 func waitVersion(bed *testbed.Bed, x *testbed.Balancer, name string, index uint64, began time.Time) (time.Duration, bool) {
 	for {
 		st, err := bed.Status(x)
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -14,21 +14,21 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// Measure runs scenarios, prints their tables, and appends a row for each to a
-// file if one is named.
+// Measure runs scenarios, prints their tables and, if a file is named, appends a
+// row for each to it.
 func Measure(_ context.Context, args []string) error {
 	fs := flag.NewFlagSet("measure", flag.ContinueOnError)
 	deployment := fs.String("deployment", "kavango", "kavango or saryarka")
 	only := fs.String("scenarios", "", "comma-separated names, all when empty")
 	policy := fs.String("policy", "bounded", "balance.policy of the balancers")
 	file := fs.String("append", "", "Markdown file that gets a row for each scenario")
-	label := fs.String("label", "", "what was measured, for the row")
+	label := fs.String("label", "", "label of the rows")
 	streams := fs.Int("streams", 300, "streams")
 	verbose := fs.Bool("verbose", false, "keep the logs")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	var bad []string
+	var violations []string
 	for _, sc := range Scenarios() {
 		if *only != "" && !strings.Contains(","+*only+",", ","+sc.Name+",") {
 			continue
@@ -39,7 +39,7 @@
 		}
 		fmt.Print(Table([]*Outcome{o}))
 		for _, v := range o.Violations(sc.Planned) {
-			bad = append(bad, sc.Name+": "+v)
+			violations = append(violations, sc.Name+": "+v)
 		}
 		if *file != "" {
 			if err := appendRow(*file, *label, *deployment, o); err != nil {
@@ -47,22 +47,22 @@
 			}
 		}
 	}
-	if len(bad) > 0 {
-		return errors.Errorf("broken promises: %s", strings.Join(bad, "; "))
+	if len(violations) > 0 {
+		return errors.Errorf("broken promises: %s", strings.Join(violations, "; "))
 	}
 	return nil
 }
 
-// Options choose how a scenario is run.
+// Options are the settings of a scenario's deployment and load.
 type Options struct {
 	Deployment string // a folder of examples
-	Policy     string // of the choice of targets
+	Policy     string // balance.policy of the balancers
 	Streams    int    // for each stream address
 	Grouped    bool   // each data centre is a group of its own
 	Verbose    bool   // keep the logs
 }
 
-// RunScenario starts a deployment for one scenario and stops it afterwards.
+// RunScenario starts a deployment, runs one scenario on it and stops it.
 func RunScenario(sc Scenario, opt Options) (*Outcome, error) {
 	root := testbed.Root()
 	bed, err := testbed.New(testbed.Config{
@@ -82,6 +82,7 @@
 	return Run(bed, sc, l)
 }
 
+// appendRow appends an outcome to a file as a row of a Markdown table.
 func appendRow(file, label, deployment string, o *Outcome) error {
 	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -1,6 +1,6 @@
 // Package experiment runs scenarios on a deployment of real processes and
-// reports what the users measure: broken flows and imbalance, with the
-// refusals, retries and control cost behind them.
+// reports broken flows and imbalance, together with refusals, retries and the
+// cost of the control plane. It also holds simulations of parts of the system.
 package experiment
 
 import (
@@ -12,24 +12,24 @@
 	"rosedale.dev/rosedale/internal/standin/caller"
 )
 
-// Outcome is one scenario's result.
+// Outcome is the result of one scenario.
 type Outcome struct {
 	Scenario  string
 	Callers   caller.Result
 	Imbalance map[string]float64 // by service and unit, in percent
-	MaxSlots  int                // most slots in use at any target
+	MaxSlots  int                // largest number of slots in use at any target
 	Shed      int                // openings that targets refused
-	Counters  map[string]float64 // growth over the run, summed over balancers
-	ControlBS float64            // control bytes a second and VM, in and out
-	CPU       float64            // share of a core for each VM, whole process
-	StoreRPS  float64            // store calls a second, all balancers
-	InForce   []time.Duration    // from the write to each balancer's use
-	Took      time.Duration
-	Traces    []string        // what was logged about the first flows that broke
-	outside   map[string]bool // targets that the scenario takes out of use
+	Counters  map[string]float64 // increase over the run, summed over balancers
+	ControlBS float64            // control bytes per second and VM, in and out
+	CPU       float64            // share of a core per VM, of the whole process
+	StoreRPS  float64            // store calls per second of all balancers
+	InForce   []time.Duration    // from a write until in force, for each write and balancer
+	Took      time.Duration      // length of the run
+	Traces    []string           // log lines about the first flows that broke
+	excluded  map[string]bool    // targets that the scenario takes out of use
 }
 
-// Broken returns the share of opened flows that broke, in percent.
+// Broken returns the percentage of opened flows that broke.
 func (o *Outcome) Broken() float64 {
 	opened := o.Callers.StreamsOpened + o.Callers.Answered + o.Callers.Broken + o.Callers.TimedOut
 	if opened == 0 {
@@ -38,9 +38,9 @@
 	return 100 * float64(o.Callers.StreamsBroken+o.Callers.Broken) / float64(opened)
 }
 
-// Violations lists broken promises: what must never happen, whatever fails.
-// Planned says that the scenario only did what operators do, so that no flow
-// may break either.
+// Violations lists what must never happen under any fault. If planned, the
+// scenario consists only of operators' actions, so that broken flows are
+// violations too.
 func (o *Outcome) Violations(planned bool) []string {
 	var out []string
 	add := func(n int, what string) {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// Percentile returns a percentile of the times until a change was in force.
+// Percentile returns the quantile q of the times until a change was in force.
 func (o *Outcome) Percentile(q float64) time.Duration {
 	if len(o.InForce) == 0 {
 		return 0
@@ -72,12 +72,12 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// Reasons returns the counters with a prefix that grew, as text.
-func (o *Outcome) Reasons(prefix string) string { return o.grown("packets_", prefix) }
+// Reasons returns the increased packet counters with a prefix, as text.
+func (o *Outcome) Reasons(prefix string) string { return o.increases("packets_", prefix) }
 
-// grown returns the counters whose names begin with family and prefix and that
-// grew, without the family's name.
-func (o *Outcome) grown(family, prefix string) string {
+// increases returns, as text, the increased counters whose names begin with
+// family and prefix. Family is left out of the text.
+func (o *Outcome) increases(family, prefix string) string {
 	var out []string
 	for k, v := range o.Counters {
 		if strings.HasPrefix(k, family+prefix) && v > 0 {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,7 +15,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// plotCapacity draws the measured rows; lines only join the points.
+// plotCapacity draws the measured rows as points joined by lines.
 func plotCapacity(dir string, fleet, cat []capacityRow) error {
 	for _, p := range []struct {
 		file, title, x, y string
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -10,23 +10,23 @@
 	"rosedale.dev/rosedale/internal/balance"
 )
 
-// policyResult is what a policyRun found.
+// policyResult is the result of a policyRun.
 type policyResult struct {
-	imbalance  float64 // mean over samples, percent
-	worst      float64 // largest sample, percent
-	recomputed float64 // share of flows at their first candidate, percent
+	imbalance      float64 // mean over samples, percent
+	worstImbalance float64 // largest sample, percent
+	firstCandidate float64 // share of flows at their first candidate, percent
 }
 
 func (p policyRun) run(seed uint64) policyResult {
 	s := p.start(seed)
 	var res policyResult
 	samples := 0
-	for now := time.Duration(0); now < 6*p.mean; now += simStep {
+	for now := time.Duration(0); now < 6*p.meanDuration; now += simStep {
 		s.step(now)
-		if now > 2*p.mean && now%time.Second == 0 {
+		if now > 2*p.meanDuration && now%time.Second == 0 {
 			i := Imbalance(s.totals())
 			res.imbalance += i
-			res.worst = max(res.worst, i)
+			res.worstImbalance = max(res.worstImbalance, i)
 			samples++
 		}
 	}
@@ -35,21 +35,21 @@
 	for _, n := range s.opened {
 		opened += n
 	}
-	res.recomputed = 100 * float64(s.first) / float64(max(opened, 1))
+	res.firstCandidate = 100 * float64(s.atFirst) / float64(max(opened, 1))
 	return res
 }
 
-// Policies measures the ways to choose a stream's target on the same load and
-// prints Markdown tables.
+// Policies simulates the policies for choosing a stream's target under the same
+// load and prints Markdown tables.
 func Policies(_ context.Context, args []string) error {
 	fs := flag.NewFlagSet("policies", flag.ContinueOnError)
-	seeds := fs.Int("seeds", 3, "runs of each, of which the median is printed")
+	seeds := fs.Int("seeds", 3, "runs of each case, of which the median is printed")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	base := policyRun{homes: 7, targets: 14, mean: 20 * time.Second, report: 1500 * time.Millisecond}
+	base := policyRun{homes: 7, targets: 14, meanDuration: 20 * time.Second, reportInterval: 1500 * time.Millisecond}
 	policyTable(base, *seeds)
-	coldTable(base, *seeds)
+	restartTable(base, *seeds)
 	busyTable(base, *seeds)
 	return nil
 }
@@ -70,15 +70,15 @@
 			r := base
 			r.policy, r.slack, r.streams = c.policy, c.slack, streams
 			if c.report > 0 {
-				r.report = c.report
+				r.reportInterval = c.report
 			}
 			m := median(seeds, r.run, func(x policyResult) float64 { return x.imbalance })
-			fmt.Printf("| %s | %.3f | %v | %d | %.1f | %.1f | %.0f |\n", c.policy, c.slack, r.report, streams, m.imbalance, m.worst, m.recomputed)
+			fmt.Printf("| %s | %.3f | %v | %d | %.1f | %.1f | %.0f |\n", c.policy, c.slack, r.reportInterval, streams, m.imbalance, m.worstImbalance, m.firstCandidate)
 		}
 	}
 }
 
-// median runs f with several seeds and returns the result with the median key.
+// median calls f with the seeds from 1 on and returns the result with the median key.
 func median[T any](seeds int, f func(seed uint64) T, key func(T) float64) T {
 	var all []T
 	for s := range seeds {
--- a/internal/experiment/policybusy.go
+++ b/internal/experiment/policybusy.go
@@ -7,7 +7,7 @@
 	"rosedale.dev/rosedale/internal/balance"
 )
 
-// reportUse is what homes make of the load that targets report.
+// reportUse says how homes treat the load that targets report.
 type reportUse string
 
 const (
@@ -16,81 +16,81 @@
 	reportsKept    reportUse = "kept for ever"
 )
 
-// busyRun gives one target other work than ours, which only its reports show,
-// and silences its load endpoint when that work ends.
+// busyRun gives one target work from outside the system, which only its load
+// reports show. When that work ends, the target's load endpoint stops answering.
 type busyRun struct {
 	policyRun
-	use reportUse
-	lag time.Duration // age of a report when homes get it
+	use       reportUse
+	reportLag time.Duration // age of a report when homes get it
 }
 
-// busyResult is what a busyRun found about the busy target.
+// busyResult is the result of a busyRun for the busy target.
 type busyResult struct {
-	over     float64       // its work over the average while busy, percent
-	below    float64       // its streams under the average a minute later, percent
-	restored time.Duration // until it holds nine tenths of the average again
-	calm     float64       // imbalance of streams before, percent
+	excess          float64       // its work above the average while busy, percent
+	shortfall       float64       // its streams below the average a minute after, percent
+	restored        time.Duration // until it has recoveredShare of the average again
+	imbalanceBefore float64       // imbalance of streams before it is busy, percent
 }
 
 const (
-	usualLoad  = 0.5 // reported by a target with an average number of streams
-	otherWork  = 0.5 // of the busy target, in the same unit
-	loadEvery  = time.Second
-	busyPeriod = 3 // mean lives of a stream
+	averageLoad  = 0.5 // reported load of a target with an average number of streams
+	externalLoad = 0.5 // added to the load of the busy target
+	loadInterval = time.Second
+	busyLives    = 3 // length of the busy time, in mean durations of a stream
 )
 
 func (b busyRun) run(seed uint64) busyResult {
 	s := b.start(seed)
 	var res busyResult
-	began := 3 * b.mean
-	ended := began + busyPeriod*b.mean
+	began := 3 * b.meanDuration
+	ended := began + busyLives*b.meanDuration
 	var history [][]float64
-	samples, calm := 0, 0
-	for now := time.Duration(0); now < ended+4*b.mean; now += simStep {
+	samples, samplesBefore := 0, 0
+	for now := time.Duration(0); now < ended+4*b.meanDuration; now += simStep {
 		s.step(now)
 		busy := now >= began && now < ended
-		if now%loadEvery != 0 {
+		if now%loadInterval != 0 {
 			continue
 		}
 		l := s.totals()
 		history = append(history, b.reported(l, busy))
 		b.report(s, now, ended, history)
 		switch {
-		case now > began-b.mean && now < began:
-			res.calm += Imbalance(l)
-			calm++
-		case busy && now > began+b.mean:
-			l[0] += mean(l) * otherWork / usualLoad
-			res.over += 100 * (l[0] - mean(l)) / mean(l)
+		case now > began-b.meanDuration && now < began:
+			res.imbalanceBefore += Imbalance(l)
+			samplesBefore++
+		case busy && now > began+b.meanDuration:
+			l[0] += mean(l) * externalLoad / averageLoad
+			res.excess += 100 * (l[0] - mean(l)) / mean(l)
 			samples++
 		case now == ended+time.Minute:
-			res.below = s.below(0)
+			res.shortfall = s.belowAverage(0)
 		}
-		if now >= ended && res.restored == 0 && s.below(0) <= 100-settledShare {
+		if now >= ended && res.restored == 0 && s.belowAverage(0) <= 100-recoveredShare {
 			res.restored = now - ended
 		}
 	}
-	res.over /= float64(samples)
-	res.calm /= float64(calm)
+	res.excess /= float64(samples)
+	res.imbalanceBefore /= float64(samplesBefore)
 	return res
 }
 
-// reported returns what the targets' endpoints say.
+// reported returns the load that each target's endpoint reports.
 func (b busyRun) reported(streams []float64, busy bool) []float64 {
 	out := make([]float64, len(streams))
-	usual := float64(b.streams) / float64(b.targets)
+	averageStreams := float64(b.streams) / float64(b.targets)
 	for i, n := range streams {
-		out[i] = usualLoad * n / usual
+		out[i] = averageLoad * n / averageStreams
 	}
 	if busy {
-		out[0] += otherWork
+		out[0] += externalLoad
 	}
 	return out
 }
 
-// report hands every home the reports that have arrived by now.
+// report passes to every home the load reports that are reportLag old.
 func (b busyRun) report(s *policySim, now, ended time.Duration, history [][]float64) {
-	at := len(history) - 1 - int(b.lag/loadEvery)
+	at := len(history) - 1 - int(b.reportLag/loadInterval)
 	if at < 0 || b.use == reportsIgnored {
 		return
 	}
@@ -99,7 +99,7 @@
 			if b.use == reportsAged {
 				continue
 			}
-			load = history[int(ended/loadEvery)-1][0]
+			load = history[int(ended/loadInterval)-1][0]
 		}
 		for _, p := range s.pools {
 			p.ReportLoad(now, uint32(i+1), load)
@@ -116,13 +116,13 @@
 			if use == reportsIgnored && lag > 0 {
 				continue
 			}
-			b := busyRun{policyRun: base, use: use, lag: lag}
-			m := median(seeds, b.run, func(x busyResult) float64 { return x.over })
+			b := busyRun{policyRun: base, use: use, reportLag: lag}
+			m := median(seeds, b.run, func(x busyResult) float64 { return x.excess })
 			restored := "never"
 			if m.restored > 0 {
 				restored = fmt.Sprintf("%.0f", m.restored.Seconds())
 			}
-			fmt.Printf("| %s | %v | %.1f | %.1f | %.1f | %s |\n", use, lag, m.calm, m.over, m.below, restored)
+			fmt.Printf("| %s | %v | %.1f | %.1f | %.1f | %s |\n", use, lag, m.imbalanceBefore, m.excess, m.shortfall, restored)
 		}
 	}
 }
--- a/internal/experiment/policysim.go
+++ b/internal/experiment/policysim.go
@@ -11,20 +11,20 @@
 	"rosedale.dev/rosedale/internal/rendezvous"
 )
 
-// policyRun is a load of streams on the real pools of several homes, each of
-// which sees only its own flows and what peers reported some time ago.
+// policyRun holds the parameters of a simulated load of streams on the real pools
+// of several homes. Each home knows only its own flows and its peers' last reports.
 type policyRun struct {
-	policy  balance.Policy
-	slack   float64
-	homes   int
-	targets int
-	streams int           // mean number of open streams
-	mean    time.Duration // of a stream's length, which is heavy-tailed
-	report  time.Duration // between two reports of a home to another
-	ramp    time.Duration // of a target that becomes active
+	policy         balance.Policy
+	slack          float64
+	homes          int
+	targets        int
+	streams        int           // mean number of open streams
+	meanDuration   time.Duration // of a stream; durations have a Pareto distribution
+	reportInterval time.Duration // between two reports from one home to another
+	ramp           time.Duration // length of the slow start of a target that becomes eligible
 }
 
-// policySim is a policyRun under way.
+// policySim is the state of a policyRun.
 type policySim struct {
 	policyRun
 	rnd     *rand.Rand
@@ -33,10 +33,10 @@
 	ends    departures
 	next    time.Duration // arrival of the next stream
 	opened  []int         // streams opened at each target
-	first   int           // of those, at the flow's first candidate
+	atFirst int           // of those, streams at their flow's first candidate
 }
 
-// simStep is the resolution of a policySim.
+// simStep is the time step of a policySim.
 const simStep = 10 * time.Millisecond
 
 func (p policyRun) start(seed uint64) *policySim {
@@ -51,7 +51,7 @@
 	return s
 }
 
-// setTargets makes all targets but one eligible at every home.
+// setTargets makes all targets eligible at every home, except the one with index down.
 func (s *policySim) setTargets(now time.Duration, down int) {
 	var ts []balance.Target
 	for i := range s.targets {
@@ -64,18 +64,18 @@
 	}
 }
 
-// step ends and opens the streams that are due, and lets homes report.
+// step ends and opens the streams that are due, and exchanges the homes' reports.
 func (s *policySim) step(now time.Duration) {
 	for len(s.ends) > 0 && s.ends[0].at <= now {
 		d := heap.Pop(&s.ends).(departure)
 		s.pools[d.home].Release(d.target, balance.Connection)
 	}
-	gap := float64(s.mean) / float64(s.streams)
+	gap := float64(s.meanDuration) / float64(s.streams)
 	for s.next <= now {
 		s.next += time.Duration(s.rnd.ExpFloat64() * gap)
 		s.open(now)
 	}
-	s.reports.exchange(now, s.report, s.pools)
+	s.reports.exchange(now, s.reportInterval, s.pools)
 }
 
 func (s *policySim) open(now time.Duration) {
@@ -87,20 +87,21 @@
 	s.pools[h].Hold(id, balance.Connection)
 	s.opened[id-1]++
 	if id == s.pools[h].First(key) {
-		s.first++
+		s.atFirst++
 	}
-	heap.Push(&s.ends, departure{now + s.life(), h, id})
+	heap.Push(&s.ends, departure{now + s.randomDuration(), h, id})
 }
 
-// paretoShape makes one stream in a hundred last 20 times the mean's half.
+// paretoShape is the shape parameter of the streams' durations. One stream in a hundred
+// lasts more than seven times the mean.
 const paretoShape = 1.5
 
-func (s *policySim) life() time.Duration {
-	return time.Duration(float64(s.mean) * (paretoShape - 1) / paretoShape * math.Pow(1-s.rnd.Float64(), -1/paretoShape))
+func (s *policySim) randomDuration() time.Duration {
+	return time.Duration(float64(s.meanDuration) * (paretoShape - 1) / paretoShape * math.Pow(1-s.rnd.Float64(), -1/paretoShape))
 }
 
-// fail ends all streams of a target.
-func (s *policySim) fail(target int) {
+// endStreams ends all streams of a target.
+func (s *policySim) endStreams(target int) {
 	kept := s.ends[:0]
 	for _, d := range s.ends {
 		if int(d.target) != target+1 {
@@ -116,8 +117,8 @@
 // totals returns the open streams of each target.
 func (s *policySim) totals() []float64 { return s.reports.totals(s.pools) }
 
-// below returns how far a target lies under the average, in percent of it.
-func (s *policySim) below(target int) float64 {
+// belowAverage returns how far a target's streams are below the average, in percent of it.
+func (s *policySim) belowAverage(target int) float64 {
 	l := s.totals()
 	avg := mean(l)
 	return 100 * (avg - l[target]) / avg
--- a/internal/experiment/relay.go
+++ b/internal/experiment/relay.go
@@ -27,23 +27,23 @@
 var (
 	relayListen  = netip.MustParseAddrPort("127.0.7.1:6081")
 	relaySink    = netip.MustParseAddrPort("127.0.7.9:6081")
-	relaySource  = netip.MustParseAddr("127.0.7.2")
+	relaySender  = netip.MustParseAddr("127.0.7.2")
 	relayService = netip.MustParseAddrPort("203.0.113.10:80")
 )
 
 const (
-	relayNumber  = 101
-	relayFlows   = 10000
-	relaySenders = 3
-	relayBatch   = 64
+	relayServiceNumber = 101
+	relayFlows         = 10000
+	relaySenders       = 3
+	relayBatch         = 64
 )
 
-// Relay compares the packets a second through the data path, with one traffic
-// goroutine, with those of a bare relay that has the same sockets and batches
-// and decides nothing.
+// Relay compares the throughput of the data path with one worker, in packets per
+// second, with that of a bare relay that uses the same sockets and batches but
+// forwards without any decision.
 func Relay(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("relay", flag.ContinueOnError)
-	runs := fs.Int("runs", 7, "runs of each, alternating")
+	runs := fs.Int("runs", 7, "runs of each of the two, alternating")
 	length := fs.Duration("length", 2*time.Second, "length of a run")
 	payload := fs.Int("payload", 200, "bytes of TCP payload in a packet")
 	if err := fs.Parse(args); err != nil {
@@ -78,6 +78,7 @@
 	return nil
 }
 
+// drainSocket reads and discards packets until the socket is closed.
 func drainSocket(c *net.UDPConn) {
 	_ = c.SetReadBuffer(4 << 20)
 	p := ipv4.NewPacketConn(c)
@@ -92,10 +93,11 @@
 	}
 }
 
+// relayRun returns the packets per second of one run, with the router or as a bare relay.
 func relayRun(ctx context.Context, bare bool, length time.Duration, payload int) (float64, error) {
 	cfg := forward.Config{
 		Listen: relayListen, Fabric: relaySink, Workers: 1,
-		Sources: []netip.Prefix{netip.PrefixFrom(relaySource, 32)},
+		Sources: []netip.Prefix{netip.PrefixFrom(relaySender, 32)},
 	}
 	if bare {
 		cfg.Relay = relaySink
@@ -122,15 +124,15 @@
 	return float64(plane.Sent.Load()-before) / time.Since(began).Seconds(), nil
 }
 
-// openFlows opens flows at the router and returns a packet of each.
+// openFlows opens relayFlows flows at the router and returns one encapsulated packet of each.
 func openFlows(r *router.Router, payload int) [][]byte {
-	k := router.TargetKey{Service: relayNumber, Addr: relaySink.Addr()}
+	k := router.TargetKey{Service: relayServiceNumber, Addr: relaySink.Addr()}
 	t := balance.Target{ID: 1, Seed: 1, Eligible: true}
 	t.Limit[balance.Connection] = 1 << 20
 	r.SetView(0, &router.View{
 		Nodes:     []router.Node{{Name: "vault-a-1", Data: relayListen, Seed: rendezvous.Seed("vault-a-1"), Serving: true}},
-		Addresses: map[netip.AddrPort]router.Address{relayService: {ID: 1, Service: relayNumber, Class: catalogue.Stream}},
-		Services:  map[uint32]router.Service{relayNumber: {Name: "catalogue", Targets: []balance.Target{t}}},
+		Addresses: map[netip.AddrPort]router.Address{relayService: {ID: 1, Service: relayServiceNumber, Class: catalogue.Stream}},
+		Services:  map[uint32]router.Service{relayServiceNumber: {Name: "catalogue", Targets: []balance.Target{t}}},
 		TargetIDs: map[router.TargetKey]uint32{k: 1},
 		Targets:   []router.Target{{}, {TargetKey: k, Answered: new(atomic.Int64)}},
 	})
@@ -142,19 +144,19 @@
 	var packets [][]byte
 	for i := range relayFlows {
 		c := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, 100, byte(i)}), uint16(20000+i))
-		handle(relaySource, 0, packet.Build(c, relayService, 1, 0, header.TCPFlagSyn, nil))
-		handle(k.Addr, relayNumber, packet.Build(relayService, c, 9, 2, header.TCPFlagSyn|header.TCPFlagAck, nil))
+		handle(relaySender, 0, packet.Build(c, relayService, 1, 0, header.TCPFlagSyn, nil))
+		handle(k.Addr, relayServiceNumber, packet.Build(relayService, c, 9, 2, header.TCPFlagSyn|header.TCPFlagAck, nil))
 		p := packet.Build(c, relayService, 2, 10, header.TCPFlagAck, make([]byte, payload))
-		handle(relaySource, 0, p)
-		handle(k.Addr, relayNumber, packet.Build(relayService, c, 10, 2, header.TCPFlagAck, nil))
+		handle(relaySender, 0, p)
+		handle(k.Addr, relayServiceNumber, packet.Build(relayService, c, 10, 2, header.TCPFlagAck, nil))
 		packets = append(packets, geneve.Append(nil, 0, nil, p))
 	}
 	return packets
 }
 
-// sendPackets sends the packets again and again until ctx ends.
+// sendPackets starts a goroutine that sends the packets in a loop until ctx ends.
 func sendPackets(ctx context.Context, packets [][]byte) error {
-	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(relaySource, 0)))
+	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(relaySender, 0)))
 	if err != nil {
 		return errors.Wrap(err, "relay: sender")
 	}
--- a/internal/experiment/reports.go
+++ b/internal/experiment/reports.go
@@ -6,24 +6,24 @@
 	"rosedale.dev/rosedale/internal/balance"
 )
 
-// reports keeps what each home last heard from each other one.
+// reports holds the last report of each home to each other home.
 type reports struct {
 	targets int
-	diff    [][][]int // home, peer, target: peer's count less the own one then
+	ahead   [][][]int // by home, peer and target: streams of the peer minus those of the home at the report
 }
 
 func newReports(homes, targets int) *reports {
-	r := &reports{targets: targets, diff: make([][][]int, homes)}
-	for h := range r.diff {
-		r.diff[h] = make([][]int, homes)
-		for q := range r.diff[h] {
-			r.diff[h][q] = make([]int, targets)
+	r := &reports{targets: targets, ahead: make([][][]int, homes)}
+	for h := range r.ahead {
+		r.ahead[h] = make([][]int, homes)
+		for q := range r.ahead[h] {
+			r.ahead[h][q] = make([]int, targets)
 		}
 	}
 	return r
 }
 
-// exchange lets each pair report once in every interval, at staggered times.
+// exchange makes each home report once per interval to each peer, at staggered times.
 func (r *reports) exchange(now, every time.Duration, pools []*balance.Pool) {
 	for h := range pools {
 		changed := false
@@ -35,7 +35,7 @@
 			changed = true
 			for t := range r.targets {
 				id := uint32(t + 1)
-				r.diff[h][q][t] = pools[q].Used(id, balance.Connection) - pools[h].Used(id, balance.Connection)
+				r.ahead[h][q][t] = pools[q].Used(id, balance.Connection) - pools[h].Used(id, balance.Connection)
 			}
 		}
 		if !changed {
@@ -44,7 +44,7 @@
 		for t := range r.targets {
 			sum := 0
 			for q := range pools {
-				sum += r.diff[h][q][t]
+				sum += r.ahead[h][q][t]
 			}
 			pools[h].ReportAhead(uint32(t+1), sum)
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,18 +14,18 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// Load is the callers' work for one deployment.
+// Load describes the callers' work for one deployment.
 type Load struct {
-	Streams  int // for each stream address
-	SlotUse  float64
-	WorkMS   int
-	Gap      time.Duration
+	Streams  int           // for each stream address
+	SlotUse  float64       // share of the slots that requests keep busy
+	WorkMS   int           // time that a target works on a request
+	Gap      time.Duration // between two frames of a stream
 	Duration time.Duration
 	Chatter  bool // callers send on their streams too
 }
 
-// Specs turns a load into the caller stand-in's terms: requests at a rate that
-// keeps SlotUse of a service's slots busy, shared among its addresses.
+// Specs returns the -streams and -requests flags of the caller stand-in. The
+// request rate keeps SlotUse of a service's slots busy, divided among its addresses.
 func (l Load) Specs(services []*catalogue.Service) (streams, requests string) {
 	var ss, rs []string
 	for _, s := range services {
@@ -48,12 +48,12 @@
 	return strings.Join(ss, ","), strings.Join(rs, ",")
 }
 
-// Run starts the load, carries out the scenario's act while it runs, and
-// measures.
+// Run starts the load, performs the scenario's act while it runs, and returns the
+// measured outcome.
 func Run(bed *testbed.Bed, sc Scenario, l Load) (*Outcome, error) {
-	o := &Outcome{Scenario: sc.Name, Counters: map[string]float64{}, Imbalance: map[string]float64{}, outside: map[string]bool{}}
-	for _, i := range sc.Outside {
-		o.outside[bed.Services[0].Targets[i].Address.String()] = true
+	o := &Outcome{Scenario: sc.Name, Counters: map[string]float64{}, Imbalance: map[string]float64{}, excluded: map[string]bool{}}
+	for _, i := range sc.Excluded {
+		o.excluded[bed.Services[0].Targets[i].Address.String()] = true
 	}
 	m := newMeter(bed)
 	if err := m.begin(); err != nil {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	samples := newSampler(bed, o.outside)
+	samples := newSampler(bed, o.excluded)
 	time.Sleep(min(l.Duration/4, 4*time.Second))
 	go samples.run(load.End)
 	if sc.Act != nil {
@@ -89,17 +89,18 @@
 		return nil, err
 	}
 	samples.report(o)
-	compare(o, statsBefore, statsAfter)
+	addTargetStats(o, statsBefore, statsAfter)
 	return o, m.end(o)
 }
 
-func compare(o *Outcome, before, after []target.Stats) {
+// addTargetStats adds to o what the targets counted during the run.
+func addTargetStats(o *Outcome, before, after []target.Stats) {
 	byService := map[string][]float64{}
 	for i, a := range after {
 		b := before[i]
 		o.MaxSlots = max(o.MaxSlots, a.MaxSlots)
 		o.Shed += a.Shed - b.Shed
-		if o.outside[a.Target] {
+		if o.excluded[a.Target] {
 			continue
 		}
 		byService[a.Service] = append(byService[a.Service], float64(a.Executed-b.Executed))
@@ -109,23 +110,23 @@
 	}
 }
 
-// sampler watches the targets' connections while the load runs.
+// sampler samples the targets' streams and slots while the load runs.
 type sampler struct {
-	bed   *testbed.Bed
-	done  chan struct{}
-	sum   map[string]float64
-	count int
-	slots map[string]map[string]float64
-	skip  map[string]bool // targets
+	bed      *testbed.Bed
+	done     chan struct{}
+	sum      map[string]float64
+	count    int
+	slots    map[string]map[string]float64
+	excluded map[string]bool // targets
 }
 
-func newSampler(b *testbed.Bed, skip map[string]bool) *sampler {
-	return &sampler{bed: b, skip: skip, done: make(chan struct{}), sum: map[string]float64{}, slots: map[string]map[string]float64{}}
+func newSampler(b *testbed.Bed, excluded map[string]bool) *sampler {
+	return &sampler{bed: b, excluded: excluded, done: make(chan struct{}), sum: map[string]float64{}, slots: map[string]map[string]float64{}}
 }
 
 const (
 	sampleEvery = 200 * time.Millisecond
-	sampleTail  = 500 * time.Millisecond
+	sampleTail  = 500 * time.Millisecond // before the end of the load, without samples
 )
 
 func (s *sampler) run(end time.Time) {
@@ -141,7 +142,7 @@
 func (s *sampler) add(st []target.Stats) {
 	streams := map[string][]float64{}
 	for _, x := range st {
-		if s.skip[x.Target] {
+		if s.excluded[x.Target] {
 			continue
 		}
 		streams[x.Service] = append(streams[x.Service], float64(x.Streams))
@@ -171,18 +172,18 @@
 	}
 }
 
-// meter reads the balancers' counters and processor time over a run.
+// meter measures the increase of the balancers' counters and processor time.
 type meter struct {
-	bed   *testbed.Bed
-	at    time.Time
-	base  map[string]map[string]float64
-	pid   map[string]int
-	cpu   map[string]float64
-	calls map[string]int
+	bed              *testbed.Bed
+	at               time.Time
+	countersBefore   map[string]map[string]float64
+	pidBefore        map[string]int
+	cpuBefore        map[string]float64
+	storeCallsBefore map[string]int
 }
 
 func newMeter(b *testbed.Bed) *meter {
-	return &meter{bed: b, base: map[string]map[string]float64{}, pid: map[string]int{}, cpu: map[string]float64{}}
+	return &meter{bed: b, countersBefore: map[string]map[string]float64{}, pidBefore: map[string]int{}, cpuBefore: map[string]float64{}}
 }
 
 func (m *meter) begin() error {
@@ -192,15 +193,16 @@
 		if err != nil {
 			return err
 		}
-		m.base[x.Name], m.pid[x.Name] = c, x.Process.PID()
-		m.cpu[x.Name], _ = processorTime(x.Process.PID())
+		m.countersBefore[x.Name], m.pidBefore[x.Name] = c, x.Process.PID()
+		m.cpuBefore[x.Name], _ = processorTime(x.Process.PID())
 	}
 	var err error
-	m.calls, err = m.bed.StoreCalls()
+	m.storeCallsBefore, err = m.bed.StoreCalls()
 	return err
 }
 
-// end adds up what grew. Balancers that were replaced count from their start.
+// end adds the increases since begin to o. Balancers that were replaced count from
+// the start of their process.
 func (m *meter) end(o *Outcome) error {
 	secs := time.Since(m.at).Seconds()
 	vms, control, cpu := 0.0, 0.0, 0.0
@@ -212,9 +214,9 @@
 		if err != nil {
 			continue // paused or just started
 		}
-		base, baseCPU := m.base[x.Name], m.cpu[x.Name]
+		base, baseCPU := m.countersBefore[x.Name], m.cpuBefore[x.Name]
 		span := secs
-		if m.pid[x.Name] != x.Process.PID() {
+		if m.pidBefore[x.Name] != x.Process.PID() {
 			base, baseCPU = map[string]float64{}, 0
 			span = max(time.Since(x.Process.Started).Seconds(), 1)
 		}
@@ -232,13 +234,13 @@
 		return err
 	}
 	for k, v := range calls {
-		o.StoreRPS += float64(v-m.calls[k]) / secs
+		o.StoreRPS += float64(v-m.storeCallsBefore[k]) / secs
 	}
 	return nil
 }
 
-// clockTick is the kernel's unit of processor time in /proc, a hundredth of a
-// second on every Linux that Go supports.
+// clockTick is the unit of processor time in /proc, in seconds. It is a hundredth
+// of a second on every Linux that Go supports.
 const clockTick = 0.01
 
 // processorTime returns the seconds of processor time that a process used.
@@ -253,7 +255,7 @@
 	u, err1 := strconv.ParseFloat(f[utime], 64)
 	k, err2 := strconv.ParseFloat(f[stime], 64)
 	if err1 != nil || err2 != nil {
-		return 0, errors.New("experiment: unreadable processor time")
+		return 0, errors.New("experiment: invalid utime or stime in /proc/PID/stat")
 	}
 	return (u + k) * clockTick, nil
 }
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -13,31 +13,31 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// Scenario is a run with what happens during it.
+// Scenario is a load and the events that occur while it runs.
 type Scenario struct {
 	Name     string
-	Planned  bool // only what operators do: no flow may break
+	Planned  bool // consists only of operators' actions, so that no flow may break
 	Duration time.Duration
 	SlotUse  float64
 	Chatter  bool // callers send on their streams too
-	// Outside are places of the first service's targets that the scenario
-	// itself takes out of use; imbalance is that of the others.
-	Outside []int
-	Act     func(*testbed.Bed, *Outcome) error
+	// Excluded lists the indexes of the first service's targets that the scenario
+	// itself takes out of use. They do not count for the imbalance.
+	Excluded []int
+	Act      func(*testbed.Bed, *Outcome) error
 }
 
-// Scenarios returns all scenarios in their order.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	const short, long = 20 * time.Second, 45 * time.Second
 	return []Scenario{
 		{Name: "steady", Planned: true, Duration: short, SlotUse: 0.7, Act: editOnce},
-		{Name: "rolling", Planned: true, Duration: long, SlotUse: 0.5, Outside: []int{0}, Act: RollingReplacement},
-		{Name: "killed", Duration: short, SlotUse: 0.5, Outside: []int{0}, Act: killed},
+		{Name: "rolling", Planned: true, Duration: long, SlotUse: 0.5, Excluded: []int{0}, Act: RollingReplacement},
+		{Name: "killed", Duration: short, SlotUse: 0.5, Excluded: []int{0}, Act: killed},
 		{Name: "paused", Duration: short, SlotUse: 0.5, Act: paused},
 		{Name: "store-outage", Planned: true, Duration: short, SlotUse: 0.5, Act: storeOutage},
 		{Name: "centre-cut", Duration: short, SlotUse: 0.3, Act: centreCut},
-		{Name: "shedding", Planned: true, Duration: short, SlotUse: 0.5, Outside: []int{0, 1, 2}, Act: shedding},
-		{Name: "dead-target", Duration: short, SlotUse: 0.4, Outside: []int{1}, Act: deadTarget},
+		{Name: "shedding", Planned: true, Duration: short, SlotUse: 0.5, Excluded: []int{0, 1, 2}, Act: shedding},
+		{Name: "dead-target", Duration: short, SlotUse: 0.4, Excluded: []int{1}, Act: deadTarget},
 		{Name: "silent", Duration: short, SlotUse: 0.4, Chatter: true, Act: silent},
 		{Name: "lossy", Planned: true, Duration: short, SlotUse: 0.4, Act: lossy},
 		{Name: "overload", Planned: true, Duration: short, SlotUse: 1.4},
@@ -49,11 +49,11 @@
 	return Edit(b, b.Service(b.Services[0].Name), o)
 }
 
-// SilentStreams is how many streams the scenario "silent" makes go silent.
+// SilentStreams is the number of streams that the scenario "silent" makes silent.
 const SilentStreams = 5
 
-// silent makes some streams of the target with the most go silent while others
-// go on.
+// silent makes SilentStreams streams silent at the target that has the most, while
+// its other streams continue.
 func silent(b *testbed.Bed, _ *Outcome) error {
 	stats, err := b.Stats()
 	if err != nil {
@@ -63,7 +63,7 @@
 	return b.LoseStreams(most.Target, SilentStreams)
 }
 
-// ScenarioByName returns the scenario of a name with another duration.
+// ScenarioByName returns the named scenario with duration d. It panics if there is none.
 func ScenarioByName(name string, d time.Duration) Scenario {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -74,7 +74,7 @@
 	panic("experiment: no scenario " + name)
 }
 
-// killed ends one balancer without warning while a target drains.
+// killed kills one balancer while a target drains.
 func killed(b *testbed.Bed, o *Outcome) error {
 	svc := b.Service(b.Services[0].Name)
 	svc.Targets[0].State = catalogue.Draining
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// paused stops one balancer for longer than its peers wait, and wakes it.
+// paused suspends one balancer for 5 seconds, longer than its peers wait before they
+// mark it dead.
 func paused(b *testbed.Bed, _ *Outcome) error {
 	b.Balancers[2].Process.Signal(syscall.SIGSTOP)
 	time.Sleep(5 * time.Second)
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// storeOutage takes the store away, restarts a balancer meanwhile, and edits
-// the catalogue as soon as the store is back.
+// storeOutage makes the store unreachable, replaces a balancer meanwhile, and
+// edits the catalogue as soon as the store is back.
 func storeOutage(b *testbed.Bed, o *Outcome) error {
 	if err := b.SetStore(platform.Faults{Down: true}); err != nil {
 		return err
@@ -111,7 +112,7 @@
 	return Edit(b, svc, o)
 }
 
-// centreCut isolates one data centre for some seconds.
+// centreCut isolates one data centre for 6 seconds.
 func centreCut(b *testbed.Bed, _ *Outcome) error {
 	dcs := b.DataCenters()
 	if err := b.Isolate(dcs[len(dcs)-1]); err != nil {
@@ -121,7 +122,7 @@
 	return b.Isolate()
 }
 
-// shedding makes a few targets refuse every opening for some seconds.
+// shedding makes three targets refuse every opening for 6 seconds.
 func shedding(b *testbed.Bed, _ *Outcome) error {
 	svc := b.Services[0]
 	for _, t := range svc.Targets[:3] {
@@ -138,13 +139,14 @@
 	return nil
 }
 
-// deadTarget makes a target drop everything while its endpoint claims health.
+// deadTarget makes a target drop every packet while its health endpoint reports
+// that it is healthy.
 func deadTarget(b *testbed.Bed, _ *Outcome) error {
 	return b.SetTarget(b.Services[0].Targets[1].Address.String(), target.Behaviour{Paused: true, Lie: true})
 }
 
 // threeFaults kills one balancer and pauses another while the store is down and
-// the network loses and reorders.
+// the network between balancers loses and reorders packets.
 func threeFaults(b *testbed.Bed, o *Outcome) error {
 	if err := b.SetStore(platform.Faults{Down: true}); err != nil {
 		return err
@@ -163,8 +165,8 @@
 	return editOnce(b, o)
 }
 
-// lossy loses, doubles, delays and reorders between balancers and in the
-// fabric, and edits the catalogue meanwhile.
+// lossy makes the network between balancers lose, duplicate, delay and reorder
+// packets and the fabric lose and duplicate them, and edits the catalogue.
 func lossy(b *testbed.Bed, o *Outcome) error {
 	f := faultproxy.Faults{Loss: 0.02, Dup: 0.02, Reorder: 0.05, Hold: 20, Delay: 1}
 	if err := b.SetProxy(f); err != nil {
--- a/internal/experiment/sizes.go
+++ b/internal/experiment/sizes.go
@@ -12,7 +12,7 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// Sizes prints the encoded sizes of the messages that capacity planning needs.
+// Sizes prints the encoded sizes of control messages, for capacity planning.
 func Sizes(context.Context, []string) error {
 	record := wire.Record{
 		Name: "scan-hall-12", DataCenter: "scan-hall", Data: netip.MustParseAddrPort("192.0.2.10:6081"),
@@ -23,21 +23,21 @@
 	flow := wire.Flow{Caller: caller, Address: vip, Target: netip.MustParseAddr("192.0.2.101"), Seq: 1 << 31, State: 4}
 	opening := flow
 	opening.Opening = packet.Build(caller, vip, 1, 0, header.TCPFlagSyn, nil)
-	text, err := catalogue.Encode(synthetic(perService)[0])
+	text, err := catalogue.Encode(syntheticCatalogue(addressesPerService)[0])
 	if err != nil {
 		return err
 	}
-	have := map[string]uint64{}
+	indexes := map[string]uint64{}
 	for i := range 650 {
-		have[fmt.Sprintf("service-%d", i)] = 1 << 30
+		indexes[fmt.Sprintf("service-%d", i)] = 1 << 30
 	}
 	base := wire.Message{Kind: wire.Ping, From: record.Name, Seq: 1 << 20, Digest: 1 << 60, High: 1 << 30, Members: 1 << 60}
-	beat := base
+	heartbeat := base
 	for i := range 32 {
-		beat.Held = append(beat.Held, wire.Held{Target: 1<<31 + uint32(i), Connections: 700})
+		heartbeat.Held = append(heartbeat.Held, wire.Held{Target: 1<<31 + uint32(i), Connections: 700})
 	}
 	for range 3 {
-		beat.Health = append(beat.Health, wire.Health{Target: 1 << 31, Checker: 1 << 31, Seq: 1 << 31, Healthy: true, Load: 50})
+		heartbeat.Health = append(heartbeat.Health, wire.Health{Target: 1 << 31, Checker: 1 << 31, Seq: 1 << 31, Healthy: true, Load: 50})
 	}
 	fmt.Println("| message | bytes |\n|---|---|")
 	for _, x := range []struct {
@@ -45,11 +45,11 @@
 		msg  wire.Message
 	}{
 		{"heartbeat, empty", base},
-		{"heartbeat with 32 counts and 3 findings", beat},
+		{"heartbeat with 32 counts and 3 findings", heartbeat},
 		{"one member record more", wire.Message{Kind: wire.Gossip, Updates: []wire.Record{record}}},
 		{"all records of 600 members", wire.Message{Kind: wire.Pull, Updates: repeat(record, 600)}},
 		{"one entry (2 addresses, 10 targets)", wire.Message{Kind: wire.Push, Versions: []catalogue.Version{{Name: "service-1", Index: 1 << 30, Created: 1 << 30, Text: text}}}},
-		{"list of 650 entries' indexes", wire.Message{Kind: wire.Pull, Have: have}},
+		{"list of 650 entries' indexes", wire.Message{Kind: wire.Pull, Have: indexes}},
 		{"handover of 4096 streams", wire.Message{Kind: wire.Handover, Flows: repeat(flow, 4096)}},
 		{"handover of 100 openings", wire.Message{Kind: wire.Handover, Flows: repeat(opening, 100)}},
 	} {
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Table returns outcomes as text, a block for each.
+// Table returns outcomes as text, one block for each.
 func Table(os []*Outcome) string {
 	var s strings.Builder
 	for _, o := range os {
@@ -40,7 +40,7 @@
 		row("drops by reason", "%s", o.Reasons("drop"))
 		row("flows", "%s", o.Reasons("flow"))
 		row("control per VM", "%.0f B/s", o.ControlBS)
-		row("encoded bytes by kind", "%s", o.grown("link_sent_", ""))
+		row("encoded bytes by kind", "%s", o.increases("link_sent_", ""))
 		row("processor per VM", "%.1f %% of a core", 100*o.CPU)
 		row("store calls", "%.2f /s", o.StoreRPS)
 		if len(c.Errors) > 0 {
@@ -50,6 +50,7 @@
 	return s.String()
 }
 
+// keys returns the sorted keys of the positive values.
 func keys(m map[string]float64) []string {
 	out := make([]string, 0, len(m))
 	for k, v := range m {
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -8,10 +8,10 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// maxTraces bounds the broken flows whose log lines are kept.
+// maxTraces bounds the number of broken flows whose log lines are kept.
 const maxTraces = 5
 
-// traces returns, for the first flows that broke, what all processes logged about them.
+// traces returns the log lines of all processes about the first flows that broke.
 func traces(bed *testbed.Bed, cuts []caller.Cut) []string {
 	var out []string
 	for _, c := range cuts[:min(len(cuts), maxTraces)] {
