--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -138,7 +138,7 @@
 		row.Endpoints += len(s.Targets)
 	}
 	bed, err := testbed.New(testbed.Config{
-		Root: testbed.Root(), Services: services, Balancer: n, Bare: true, Extra: "[log]\nlevel = \"warn\"",
+		Root: testbed.Root(), Services: services, BalancerCount: n, Bare: true, Extra: "[log]\nlevel = \"warn\"",
 	})
 	if err != nil {
 		return row, err
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -20,15 +20,15 @@
 
 // Config describes a deployment.
 type Config struct {
-	Root     string // the repository; programs are in Root/bin
-	Examples string // folder of catalogue entries
-	Balancer int    // number of balancers, 7 when zero
-	Proxy    bool   // put the fault-injecting relay between balancers
-	Bare     bool   // store and balancers only; no targets and no fabric
-	Extra    string // appended to every balancer's settings
-	Grouped  bool   // each data centre is a group of its own, and the fabric knows
-	Single   bool   // one balancer that reads Examples itself, and nothing else
-	Verbose  bool
+	Root          string // the repository; programs are in Root/bin
+	Examples      string // folder of catalogue entries
+	BalancerCount int    // number of balancers, 7 when zero
+	Proxy         bool   // put the fault-injecting relay between balancers
+	Bare          bool   // store and balancers only; no targets and no fabric
+	Extra         string // appended to every balancer's settings
+	Grouped       bool   // each data centre is a group of its own, and the fabric knows
+	Single        bool   // one balancer that reads Examples itself, and nothing else
+	Verbose       bool
 	// Services takes the place of the entries in Examples.
 	Services []*catalogue.Service
 }
@@ -78,8 +78,8 @@
 
 // New starts a deployment and waits until every balancer is ready.
 func New(c Config) (*Bed, error) {
-	if c.Balancer == 0 {
-		c.Balancer = defaultMembers
+	if c.BalancerCount == 0 {
+		c.BalancerCount = defaultMembers
 	}
 	release, err := lock()
 	if err != nil {
@@ -107,7 +107,7 @@
 func (b *Bed) startAll() error {
 	var err error
 	if b.Single {
-		b.Balancer, b.Bare = 1, true
+		b.BalancerCount, b.Bare = 1, true
 	}
 	if b.ca, err = keys.NewAuthority("test authority", certValid, time.Now()); err != nil {
 		return err
@@ -174,7 +174,7 @@
 
 func (b *Bed) plan() {
 	dcs := b.DataCenters()
-	for i := range b.Balancer {
+	for i := range b.BalancerCount {
 		dc := dcs[i%len(dcs)]
 		n := i/len(dcs) + 1
 		b.Balancers = append(b.Balancers, &Balancer{
