--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -20,34 +20,34 @@
 
 // Config describes a deployment.
 type Config struct {
-	Root          string // the repository; programs are in Root/bin
+	Root          string // folder of the repository; programs are in Root/bin
 	Examples      string // folder of catalogue entries
 	BalancerCount int    // number of balancers, 7 when zero
-	Proxy         bool   // put the fault-injecting relay between balancers
-	Bare          bool   // store and balancers only; no targets and no fabric
+	Proxy         bool   // put the fault-injecting relay between balancers and before the store
+	Bare          bool   // store and balancers only, without targets and fabric
 	Extra         string // appended to every balancer's settings
-	Grouped       bool   // each data centre is a group of its own, and the fabric knows
-	Single        bool   // one balancer that reads Examples itself, and nothing else
-	Verbose       bool
-	// Services takes the place of the entries in Examples.
+	Grouped       bool   // each data centre is a group of its own, for the fabric too
+	Single        bool   // only one balancer, which reads the entries from Examples
+	Verbose       bool   // keep the logs
+	// Services replaces the entries in Examples, if not nil.
 	Services []*catalogue.Service
 }
 
-// Fixed addresses of the stand-ins.
+// Addresses of the stand-ins, and ports and defaults of the balancers.
 const (
-	FabricControl  = "127.0.9.1:8080"
-	TargetControl  = "127.0.9.2:8080"
-	Platform       = "127.0.9.3:8500"
-	ProxyControl   = "127.0.9.4:8080"
-	callerAddr     = "127.0.9.%d:6081"
-	storePrefix    = "rosedale"
-	startTimeout   = 40 * time.Second
-	certValid      = 24 * time.Hour
-	dataPort       = 6081
-	controlPort    = 7000
-	adminPort      = 7001
-	gatePort       = 8500
-	defaultMembers = 7
+	FabricControl    = "127.0.9.1:8080"
+	TargetControl    = "127.0.9.2:8080"
+	Platform         = "127.0.9.3:8500"
+	ProxyControl     = "127.0.9.4:8080"
+	callerAddr       = "127.0.9.%d:6081"
+	storePrefix      = "rosedale"
+	startTimeout     = 40 * time.Second
+	certValidity     = 24 * time.Hour
+	dataPort         = 6081
+	controlPort      = 7000
+	adminPort        = 7001
+	storeRelayPort   = 8500
+	defaultBalancers = 7
 )
 
 // Bed is a running deployment.
@@ -60,12 +60,12 @@
 	procs     []*Process
 	ca        keys.Pair
 	callers   int
-	release   func() // of the lock on the machine's addresses
-	// ReadyAfter is the time from the balancers' start until all were ready.
+	release   func() // releases the machine-wide lock
+	// ReadyAfter is the time from the start of the balancers until all were ready.
 	ReadyAfter time.Duration
 }
 
-// Balancer is one entry VM.
+// Balancer is one VM of the load balancer.
 type Balancer struct {
 	Name       string
 	DataCenter string
@@ -79,7 +79,7 @@
 // New starts a deployment and waits until every balancer is ready.
 func New(c Config) (*Bed, error) {
 	if c.BalancerCount == 0 {
-		c.BalancerCount = defaultMembers
+		c.BalancerCount = defaultBalancers
 	}
 	release, err := lock()
 	if err != nil {
@@ -109,13 +109,13 @@
 	if b.Single {
 		b.BalancerCount, b.Bare = 1, true
 	}
-	if b.ca, err = keys.NewAuthority("test authority", certValid, time.Now()); err != nil {
+	if b.ca, err = keys.NewAuthority("test authority", certValidity, time.Now()); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(b.Dir, "ca.pem"), b.ca.Cert, 0o644); err != nil {
 		return errors.Wrap(err, "testbed: authority")
 	}
-	b.plan()
+	b.planBalancers()
 	if err := b.startStandins(); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// DataCenters returns the names of the data centres, in the catalogue's order.
+// DataCenters returns the names of the targets' data centres, in the catalogue's order.
 func (b *Bed) DataCenters() []string {
 	var out []string
 	seen := map[string]bool{}
@@ -160,8 +160,8 @@
 	return out
 }
 
-// base returns the second byte of a data centre's addresses.
-func (b *Bed) base(dc string) byte {
+// secondByte returns the second byte of the addresses in a data centre.
+func (b *Bed) secondByte(dc string) byte {
 	for _, s := range b.Services {
 		for _, t := range s.Targets {
 			if t.DataCenter == dc {
@@ -172,7 +172,8 @@
 	return 0
 }
 
-func (b *Bed) plan() {
+// planBalancers distributes the balancers over the data centres.
+func (b *Bed) planBalancers() {
 	dcs := b.DataCenters()
 	for i := range b.BalancerCount {
 		dc := dcs[i%len(dcs)]
@@ -180,7 +181,7 @@
 		b.Balancers = append(b.Balancers, &Balancer{
 			Name:       fmt.Sprintf("%s-%d", dc, n),
 			DataCenter: dc,
-			IP:         netip.AddrFrom4([4]byte{127, b.base(dc), 0, byte(n)}),
+			IP:         netip.AddrFrom4([4]byte{127, b.secondByte(dc), 0, byte(n)}),
 		})
 	}
 }
@@ -214,13 +215,13 @@
 				return err
 			}
 		}
-		return b.tellFabric()
+		return b.configureFabric()
 	})
 }
 
 // StartBalancer writes a balancer's settings and keys and starts it.
 func (b *Bed) StartBalancer(x *Balancer) error {
-	pair, err := keys.NewMember(b.ca, x.Name, certValid, time.Now())
+	pair, err := keys.NewMember(b.ca, x.Name, certValidity, time.Now())
 	if err != nil {
 		return err
 	}
@@ -233,10 +234,11 @@
 	return err
 }
 
-// WaitReady waits until n balancers are ready and the fabric knows it.
+// WaitReady waits until the fabric counts exactly n ready balancers. Without a
+// fabric it waits until all running balancers are ready.
 func (b *Bed) WaitReady(n int) error {
 	if b.Bare {
-		return b.waitAdmin()
+		return b.waitReadyz()
 	}
 	return waitFor(startTimeout, func() error {
 		var st struct {
@@ -252,7 +254,7 @@
 	})
 }
 
-// Stop ends every process and removes the folder.
+// Stop kills every process and removes the folder, which Verbose keeps.
 func (b *Bed) Stop() {
 	b.mu.Lock()
 	procs := b.procs
@@ -272,7 +274,7 @@
 	b.release()
 }
 
-// Root returns the repository's folder from this package's place in it.
+// Root returns the folder of the repository, found from the path of this source file.
 func Root() string {
 	_, file, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(file), "..", "..")
--- a/internal/testbed/http.go
+++ b/internal/testbed/http.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	pollInterval = 50 * time.Millisecond
-	httpTimeout  = 3 * time.Second
+	retryInterval = 50 * time.Millisecond
+	httpTimeout   = 3 * time.Second
 )
 
 var client = &http.Client{Timeout: httpTimeout}
 
-// waitFor tries f until it succeeds or the limit passes; the error is f's last.
+// waitFor calls f until it succeeds or the limit passes, and returns the last error.
 func waitFor(limit time.Duration, f func() error) error {
 	end := time.Now().Add(limit)
 	for {
@@ -25,10 +25,11 @@
 		if err == nil || time.Now().After(end) {
 			return err
 		}
-		time.Sleep(pollInterval)
+		time.Sleep(retryInterval)
 	}
 }
 
+// getJSON decodes the answer to a GET request into a value, or discards it if that is nil.
 func getJSON(url string, into any) error {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -45,6 +46,7 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
+// postJSON sends a value as the body of a POST request.
 func postJSON(url string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/testbed/lock.go
+++ b/internal/testbed/lock.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// lock waits until no other deployment runs on this machine, and returns how to
-// let the next one begin.
+// lock waits until no other deployment runs on this machine and returns a
+// function that releases the lock.
 //
-// Failure: two runs of the tests at once start their stand-ins at the same
-// addresses. It shows as daemons that end at once and stores that refuse, in
-// both. The kernel frees the lock of a process that dies.
+// Without it, two test runs at the same time would start their stand-ins at the
+// same addresses: in both, daemons would exit at once and stores would refuse
+// connections. The kernel releases the lock of a process that ends.
 func lock() (release func(), err error) {
 	path := filepath.Join(os.TempDir(), "rosedale-testbed.lock")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
--- a/internal/testbed/metrics.go
+++ b/internal/testbed/metrics.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// parseMetrics reads the samples without labels of Prometheus text.
+// parseMetrics reads the samples without labels from Prometheus text. Names are
+// returned without the prefix "rosedale_".
 func parseMetrics(r io.Reader) (map[string]float64, error) {
 	out := map[string]float64{}
 	s := bufio.NewScanner(r)
--- a/internal/testbed/acts.go
+++ b/internal/testbed/operations.go
@@ -24,7 +24,8 @@
 	"rosedale.dev/rosedale/internal/store"
 )
 
-func (b *Bed) tellFabric() error {
+// configureFabric passes the balancers' addresses to the fabric and ends its faults.
+func (b *Bed) configureFabric() error {
 	var all []fabric.Balancer
 	for _, x := range b.Balancers {
 		all = append(all, fabric.Balancer{
@@ -37,7 +38,8 @@
 	return b.SetFabric(nil, 0, 0)
 }
 
-// PutService writes an entry as an operator would.
+// PutService writes a catalogue entry to the store. It retries when the write fails or
+// another writer came first.
 func (b *Bed) PutService(s *catalogue.Service) error {
 	text, err := catalogue.Encode(s)
 	if err != nil {
@@ -55,7 +57,8 @@
 	})
 }
 
-// Service returns a copy of the first version of an entry.
+// Service returns a copy of a catalogue entry as it was at the start of the
+// deployment, or nil if there is none.
 func (b *Bed) Service(name string) *catalogue.Service {
 	for _, s := range b.Services {
 		if s.Name == name {
@@ -68,7 +71,8 @@
 	return nil
 }
 
-// Replace stops a balancer as planned and starts it anew.
+// Replace stops a balancer by SIGTERM, starts it again and waits until all
+// running balancers are ready.
 func (b *Bed) Replace(x *Balancer) error {
 	x.Process.Signal(syscall.SIGTERM)
 	if err := x.Process.Wait(40 * time.Second); err != nil {
@@ -80,6 +84,7 @@
 	return b.WaitReady(b.running())
 }
 
+// running returns the number of running balancers.
 func (b *Bed) running() int {
 	n := 0
 	for _, x := range b.Balancers {
@@ -90,15 +95,15 @@
 	return n
 }
 
-// Load is a caller process.
+// Load is a running process of the caller stand-in.
 type Load struct {
 	proc *Process
-	out  string
+	out  string // file for the result
 	End  time.Time
 }
 
-// StartLoad starts callers; streams and requests as the caller stand-in
-// takes them.
+// StartLoad starts a process of the caller stand-in with the given -streams and
+// -requests flags for the duration d.
 func (b *Bed) StartLoad(streams, requests string, d, gap time.Duration, chatter bool) (*Load, error) {
 	b.callers++
 	name := fmt.Sprintf("caller-%d", b.callers)
@@ -109,7 +114,7 @@
 	return &Load{p, out, time.Now().Add(d)}, err
 }
 
-// Result waits for the callers to end and returns what they saw.
+// Result waits for the end of the process and returns its result.
 func (l *Load) Result() (caller.Result, error) {
 	var r caller.Result
 	if err := l.proc.Wait(time.Until(l.End) + 30*time.Second); err != nil {
@@ -122,36 +127,37 @@
 	return r, json.Unmarshal(data, &r)
 }
 
-// Stats returns the targets' counts.
+// Stats returns the statistics of all targets.
 func (b *Bed) Stats() ([]target.Stats, error) {
 	var s []target.Stats
 	return s, getJSON("http://"+TargetControl+"/stats", &s)
 }
 
-// SetTarget changes a target's behaviour.
+// SetTarget sets a target's behaviour.
 func (b *Bed) SetTarget(addr string, s target.Behaviour) error {
 	return postJSON("http://"+TargetControl+"/set/"+addr, s)
 }
 
-// LoseStreams makes n streams of a target go silent. A target that has fewer
-// is an error.
+// LoseStreams makes n streams of a target silent: their packets are dropped. It
+// returns an error if the target has fewer.
 func (b *Bed) LoseStreams(addr string, n int) error {
 	return postJSON(fmt.Sprintf("http://%s/lose/%s/%d", TargetControl, addr, n), nil)
 }
 
-// SetStore changes the store's faults.
+// SetStore sets the store's faults.
 func (b *Bed) SetStore(f platform.Faults) error { return postJSON("http://"+Platform+"/faults", f) }
 
-// StoreCalls returns the store's call counts.
+// StoreCalls returns the number of calls to the store by kind.
 func (b *Bed) StoreCalls() (map[string]int, error) {
 	var m map[string]int
 	return m, getJSON("http://"+Platform+"/calls", &m)
 }
 
-// SetProxy changes the faults between balancers.
+// SetProxy sets the faults between balancers, and between balancers and the store.
 func (b *Bed) SetProxy(f faultproxy.Faults) error { return postJSON("http://"+ProxyControl, f) }
 
-// SetFabric changes the fabric's faults; loss and dup are per million.
+// SetFabric sets the fabric's faults: the data centres cut off, and the packets lost and
+// duplicated per million.
 func (b *Bed) SetFabric(cut []string, loss, dup int64) error {
 	set := map[string]any{"cut": cut, "loss": loss, "dup": dup}
 	if b.Grouped {
@@ -160,8 +166,8 @@
 	return postJSON("http://"+FabricControl+"/set", set)
 }
 
-// Isolate cuts data centres off from the others: balancers, fabric, targets.
-// With none it heals every cut.
+// Isolate cuts data centres off from the others, at balancers, fabric and targets.
+// Without arguments it ends all such cuts.
 func (b *Bed) Isolate(dcs ...string) error {
 	if err := b.SetProxy(faultproxy.Faults{Cut: dcs}); err != nil {
 		return err
@@ -178,7 +184,7 @@
 			var from []string
 			for _, d := range b.DataCenters() {
 				if d != t.DataCenter && (cut[d] || cut[t.DataCenter]) {
-					from = append(from, fmt.Sprintf("127.%d.0.0/16", b.base(d)))
+					from = append(from, fmt.Sprintf("127.%d.0.0/16", b.secondByte(d)))
 				}
 			}
 			if err := b.SetTarget(t.Address.String(), target.Behaviour{CutFrom: from}); err != nil {
@@ -189,7 +195,7 @@
 	return nil
 }
 
-// Status returns a balancer's status.
+// Status returns the status from a balancer's admin endpoint.
 func (b *Bed) Status(x *Balancer) (control.Status, error) {
 	var s control.Status
 	return s, getJSON("http://"+x.Admin()+"/status", &s)
@@ -205,8 +211,8 @@
 	return parseMetrics(resp.Body)
 }
 
-// proxied returns the relay's address for packets from x to o.
-func (b *Bed) proxied(x, o *Balancer, port uint16) netip.AddrPort {
+// relayAddr returns the address at which the relay accepts packets from x to o.
+func (b *Bed) relayAddr(x, o *Balancer, port uint16) netip.AddrPort {
 	from, to := -1, -1
 	for i, y := range b.Balancers {
 		if y == x {
@@ -219,15 +225,18 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 100, byte(from), byte(to + 1)}), port)
 }
 
-// gate returns the relay's address for calls from a data centre to the store.
-func (b *Bed) gate(dc string) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 101, b.base(dc), 1}), gatePort)
+// storeRelayAddr returns the address at which the relay accepts calls from a data
+// centre to the store.
+func (b *Bed) storeRelayAddr(dc string) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 101, b.secondByte(dc), 1}), storeRelayPort)
 }
 
+// startProxy starts the relay with a link for each pair of balancers and port, and a
+// gate to the store for each data centre.
 func (b *Bed) startProxy() error {
 	var plan faultproxy.Plan
 	for _, dc := range b.DataCenters() {
-		plan.Gates = append(plan.Gates, faultproxy.Gate{From: dc, Listen: b.gate(dc), To: netip.MustParseAddrPort(Platform)})
+		plan.Gates = append(plan.Gates, faultproxy.Gate{From: dc, Listen: b.storeRelayAddr(dc), To: netip.MustParseAddrPort(Platform)})
 	}
 	for _, x := range b.Balancers {
 		for _, o := range b.Balancers {
@@ -236,7 +245,7 @@
 			}
 			for _, port := range []uint16{dataPort, controlPort} {
 				plan.Links = append(plan.Links, faultproxy.Link{
-					From: x.DataCenter, Dest: o.DataCenter, Listen: b.proxied(x, o, port),
+					From: x.DataCenter, Dest: o.DataCenter, Listen: b.relayAddr(x, o, port),
 					To: netip.AddrPortFrom(o.IP, port), Source: x.IP,
 				})
 			}
@@ -254,7 +263,7 @@
 	return err
 }
 
-// LogsAbout returns the lines of all processes' logs that name a caller's end of a flow.
+// LogsAbout returns the log lines of all processes that contain a caller's address.
 func (b *Bed) LogsAbout(caller string) string {
 	files, err := filepath.Glob(filepath.Join(b.Dir, "*.log"))
 	if err != nil {
@@ -277,10 +286,10 @@
 	return out.String()
 }
 
-// Log returns a process's output, for a failed test's report.
+// Log returns the last lines of a process's output.
 func (b *Bed) Log(name string) string {
 	data, _ := os.ReadFile(filepath.Join(b.Dir, name+".log"))
 	lines := strings.Split(string(data), "\n")
-	const most = 30
-	return strings.Join(lines[max(0, len(lines)-most):], "\n")
+	const maxLines = 30
+	return strings.Join(lines[max(0, len(lines)-maxLines):], "\n")
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -1,7 +1,7 @@
-// Package testbed starts a whole deployment of real processes on loopback for
-// the demo, the measurements and the integration tests: stand-ins for the
-// platform, the fabric, targets and callers, a fault-injecting relay between
-// the balancers, and the balancers themselves.
+// Package testbed starts a deployment of real processes on loopback for the
+// demo, the measurements and the integration tests: stand-ins for the platform,
+// the fabric, targets and callers, a fault-injecting relay between the
+// balancers, and the balancers themselves.
 package testbed
 
 import (
@@ -18,13 +18,13 @@
 type Process struct {
 	Name    string
 	Started time.Time
-	log     string // file with what it writes
+	log     string // file with its output
 	cmd     *exec.Cmd
 	done    chan struct{}
 	err     error
 }
 
-// start runs a program with its output in a file of the bed's folder.
+// start starts a program, whose output is appended to a log file in the bed's folder.
 func (b *Bed) start(name, program string, args ...string) (*Process, error) {
 	log := filepath.Join(b.Dir, name+".log")
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -54,20 +54,20 @@
 // PID returns the process's identifier.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stackTime is how long a process has to write what its goroutines do.
-const stackTime = 2 * time.Second
+// stackDumpTimeout is the time that a process has to write the stacks of its goroutines.
+const stackDumpTimeout = 2 * time.Second
 
-// Wait waits for the end of the process. One that runs longer is made to write its
-// stacks, and the error says where.
+// Wait waits for the end of the process and returns its error. A process that runs
+// longer than the limit is ended by SIGQUIT, and the error contains its stacks.
 func (p *Process) Wait(limit time.Duration) error {
 	if !p.Running() {
-		return p.err // also if the limit has passed meanwhile
+		return p.err // even if the limit has passed
 	}
 	select {
 	case <-p.done:
@@ -78,19 +78,19 @@
 	p.Signal(syscall.SIGQUIT)
 	select {
 	case <-p.done:
-	case <-time.After(stackTime):
+	case <-time.After(stackDumpTimeout):
 	}
-	return errors.Errorf("testbed: %s still runs after %v; its stacks:\n%s", p.Name, limit, p.logged())
+	return errors.Errorf("testbed: %s still runs after %v; its stacks:\n%s", p.Name, limit, p.outputTail())
 }
 
-// logged returns the end of what the process wrote.
-func (p *Process) logged() string {
-	const most = 16 << 10 // bytes, some twenty goroutines
+// outputTail returns the end of the process's output.
+func (p *Process) outputTail() string {
+	const maxBytes = 16 << 10 // the stacks of some twenty goroutines
 	b, err := os.ReadFile(p.log)
 	if err != nil {
 		return err.Error()
 	}
-	return string(b[max(0, len(b)-most):])
+	return string(b[max(0, len(b)-maxBytes):])
 }
 
 // Running reports whether the process has not ended.
--- a/internal/testbed/process_test.go
+++ b/internal/testbed/process_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// hangVariable has this test program hang when it is started as a process of a bed.
-const hangVariable = "TESTBED_HANG"
+// hangEnv is the environment variable that makes this test program hang when it is
+// started as a process of a bed.
+const hangEnv = "TESTBED_HANG"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(hangVariable) != "" {
+	if os.Getenv(hangEnv) != "" {
 		hangForTheTest()
 	}
 	os.Exit(m.Run())
@@ -19,8 +20,8 @@
 
 func hangForTheTest() { time.Sleep(time.Minute) }
 
-// A scenario takes longer than planned, so that the limit for a process has passed when
-// the test comes to wait for it. If it has ended, that is no failure.
+// Guards against a false timeout: Wait is called with a limit that has passed, because a
+// scenario took longer than planned, although the process has ended.
 func TestLateWaitForAnEndedProcess(t *testing.T) {
 	b := &Bed{Dir: t.TempDir()}
 	p, err := b.start("done", "/bin/true")
@@ -35,16 +36,16 @@
 	}
 }
 
-// A process hangs once in a hundred runs. The test that waits for it must say where, as
-// nobody can look at the process any more.
+// A process that hangs in one of a hundred runs cannot be inspected after the run. The
+// error of Wait has to contain its stacks.
 func TestHangingProcessTellsItsStacks(t *testing.T) {
-	t.Setenv(hangVariable, "1")
+	t.Setenv(hangEnv, "1")
 	b := &Bed{Dir: t.TempDir()}
 	p, err := b.start("hanging", os.Args[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(100 * time.Millisecond) // until its runtime takes signals
+	time.Sleep(100 * time.Millisecond) // until its runtime handles signals
 	err = p.Wait(200 * time.Millisecond)
 	if err == nil || !strings.Contains(err.Error(), "hangForTheTest") {
 		t.Errorf("the error does not name the function that hangs: %v", err)
--- a/internal/testbed/bare.go
+++ b/internal/testbed/readyz.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// waitAdmin waits until every running balancer says that it is ready.
-func (b *Bed) waitAdmin() error {
+// waitReadyz waits until /readyz of every running balancer answers 200.
+func (b *Bed) waitReadyz() error {
 	return waitFor(startTimeout, func() error {
 		for _, x := range b.Balancers {
 			if x.Process == nil || !x.Process.Running() {
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// settings returns a balancer's settings file.
+// settings returns the text of a balancer's settings file.
 func (b *Bed) settings(x *Balancer) string {
 	var s strings.Builder
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&s, format+"\n", args...) }
@@ -25,7 +25,7 @@
 	line("[control]\nlisten = \"%s:%d\"", x.IP, controlPort)
 	platform := Platform
 	if b.Proxy {
-		platform = b.gate(x.DataCenter).String()
+		platform = b.storeRelayAddr(x.DataCenter).String()
 	}
 	line("[store]\nurl = \"http://%s\"\nprefix = %q", platform, storePrefix)
 	line("[keys]\nca = %q\ncert = %q\nkey = %q", filepath.Join(b.Dir, "ca.pem"),
@@ -40,11 +40,11 @@
 		}
 		data, control := netip.AddrPortFrom(o.IP, dataPort), netip.AddrPortFrom(o.IP, controlPort)
 		if b.Proxy {
-			data, control = b.proxied(x, o, dataPort), b.proxied(x, o, controlPort)
+			data, control = b.relayAddr(x, o, dataPort), b.relayAddr(x, o, controlPort)
 		}
 		line("[[member]]\nname = %q\ndata_center = %q\ndata = \"%s\"\ncontrol = \"%s\"", o.Name, o.DataCenter, data, control)
 		if b.Proxy {
-			line("source = \"%s\"", o.IP) // known before its first record is heard
+			line("source = \"%s\"", o.IP) // source address of its packets until its first record arrives
 		}
 	}
 	return s.String()
