--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -1,5 +1,5 @@
-// Package architecture checks rules that span packages: which may import what,
-// and that the operators' pages name every key and counter.
+// Package architecture tests rules that span packages: which package may import
+// what, and that the operators' pages document every setting and counter.
 package architecture
 
 import (
@@ -17,21 +17,21 @@
 	"rosedale.dev/rosedale/internal/wire"
 )
 
-// pure packages decide without sockets, files, clocks and logs.
-var pure = []string{"balance", "catalogue", "converge", "direct", "flow", "geneve", "member", "packet", "rendezvous", "replica", "revision", "router", "slowstart", "wire"}
+// purePackages make decisions without access to sockets, files, clocks and logs.
+var purePackages = []string{"balance", "catalogue", "converge", "direct", "flow", "geneve", "member", "packet", "rendezvous", "replica", "revision", "router", "slowstart", "wire"}
 
-var forbidden = map[string]bool{
+// forbiddenImports lists what pure packages must not import.
+var forbiddenImports = map[string]bool{
 	"net": true, "net/http": true, "os": true, "log": true, "log/slog": true,
 	"go.uber.org/zap": true, "context": true, "io/ioutil": true,
 }
 
-// A decision that reads a clock or a socket cannot be replayed by the model
-// checker.
+// The model checker can replay only code that reads no clock and no socket.
 func TestDecisionsArePure(t *testing.T) {
-	for _, p := range pure {
+	for _, p := range purePackages {
 		files, _ := filepath.Glob(filepath.Join("..", p, "*.go"))
 		if len(files) == 0 {
-			t.Errorf("package %s is gone", p)
+			t.Errorf("package %s has no files", p)
 		}
 		for _, f := range files {
 			if !strings.HasSuffix(f, "_test.go") {
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	for _, i := range f.Imports {
-		if p := strings.Trim(i.Path.Value, `"`); forbidden[p] {
+		if p := strings.Trim(i.Path.Value, `"`); forbiddenImports[p] {
 			t.Errorf("%s imports %s", path, p)
 		}
 	}
-	text := read(t, path)
+	text := readFile(t, path)
 	for _, call := range []string{"time.Now(", "time.Since(", "time.Sleep(", "go func"} {
 		if strings.Contains(text, call) {
 			t.Errorf("%s uses %s", path, call)
@@ -59,7 +59,7 @@
 	}
 }
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -68,47 +68,48 @@
 	return string(b)
 }
 
-// platformNames are spelled by the users' platform. Only its folder and the
-// stand-ins may know them, so that a change of the platform meets one folder.
+// platformNames lists names that the users' platform defines. Only the folder
+// platform and the stand-ins may contain them, so that a change of the platform
+// affects one folder.
 var platformNames = []string{"kv-txn", "kv-watch", "kv-range", "kv-lease", "coldLeftMs", "heartbeatIntervalMs", "ROSEDALE_BOOT", "op/config", "servers/", "datagramAddr", "configApplyMs", "Endpoint-Id"}
 
 func TestPlatformIsMetInOneFolder(t *testing.T) {
 	_ = filepath.WalkDir("../..", func(path string, _ os.DirEntry, err error) error {
 		rel := strings.TrimPrefix(path, "../../")
-		known := strings.HasPrefix(rel, "platform/") || strings.HasPrefix(rel, "internal/standin/") || strings.HasPrefix(rel, "internal/architecture/")
-		if err != nil || known || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		allowed := strings.HasPrefix(rel, "platform/") || strings.HasPrefix(rel, "internal/standin/") || strings.HasPrefix(rel, "internal/architecture/")
+		if err != nil || allowed || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
 		}
-		text := read(t, path)
+		text := readFile(t, path)
 		for _, n := range platformNames {
 			if strings.Contains(text, n) {
-				t.Errorf("%s names the platform's %s", rel, n)
+				t.Errorf("%s contains the platform's name %s", rel, n)
 			}
 		}
 		return nil
 	})
 }
 
-// The platform's folder decodes and calls. It must not import what decides over
-// I/O, nor start goroutines.
+// The folder platform only decodes and makes calls. It must not import the packages
+// that decide when to make them, sleep, or start goroutines.
 func TestPlatformDecidesNothing(t *testing.T) {
 	files, _ := filepath.Glob("../../platform/*.go")
 	for _, f := range files {
 		if strings.HasSuffix(f, "_test.go") {
 			continue
 		}
-		text := read(t, f)
-		for _, bad := range []string{"internal/edge", "internal/peer", "go func", "time.Sleep("} {
-			if strings.Contains(text, bad) {
-				t.Errorf("%s has %q", f, bad)
+		text := readFile(t, f)
+		for _, forbidden := range []string{"internal/edge", "internal/peer", "go func", "time.Sleep("} {
+			if strings.Contains(text, forbidden) {
+				t.Errorf("%s contains %q", f, forbidden)
 			}
 		}
 	}
 }
 
-// An operator who meets a counter must find what it means.
+// Every counter of rosedaled has to be in the operators' list of counters.
 func TestEveryCounterIsDocumented(t *testing.T) {
-	page := read(t, "../../docs/operators/counters.md")
+	page := readFile(t, "../../docs/operators/counters.md")
 	for _, r := range router.Reasons() {
 		if !strings.Contains(page, "`packets_"+r.String()+"`") {
 			t.Errorf("packets_%s is not documented", r)
@@ -119,7 +120,7 @@
 			t.Errorf("link_sent_%s is not documented", k)
 		}
 	}
-	for _, line := range strings.Split(read(t, "../daemon/collector.go"), "\n") {
+	for _, line := range strings.Split(readFile(t, "../daemon/collector.go"), "\n") {
 		_, rest, ok := strings.Cut(line, `("`)
 		if !ok || !strings.Contains(line, "m.") {
 			continue
@@ -131,16 +132,17 @@
 	}
 }
 
-// The pages for rosedale-edge have to name its counters, histograms and flags.
+// The operators' pages for rosedale-edge have to name its counters, histograms,
+// flags and feature switches.
 func TestEdgeIsDocumented(t *testing.T) {
-	page := read(t, "../../docs/OPERATIONS.md")
+	page := readFile(t, "../../docs/OPERATIONS.md")
 	for _, r := range direct.Reasons() {
 		if !strings.Contains(page, "`"+r.String()+"`") {
 			t.Errorf("packets_%s is not documented", r)
 		}
 	}
 	for _, f := range []string{"metrics.go", "times.go"} {
-		for _, line := range strings.Split(read(t, "../edge/"+f), "\n") {
+		for _, line := range strings.Split(readFile(t, "../edge/"+f), "\n") {
 			_, rest, ok := strings.Cut(line, `("`)
 			name, _, _ := strings.Cut(rest, `"`)
 			if ok && !strings.HasSuffix(name, "_") && !strings.Contains(page, "`"+name+"`") {
@@ -148,7 +150,7 @@
 			}
 		}
 	}
-	page = read(t, "../../docs/operators/platform.md")
+	page = readFile(t, "../../docs/operators/platform.md")
 	for _, flag := range []string{"-config", "-check", "-log-level", "-without"} {
 		if !strings.Contains(page, "`"+flag+"`") {
 			t.Errorf("%s is not documented", flag)
@@ -161,9 +163,9 @@
 	}
 }
 
-// Every key of the settings has to stand in the reference.
+// Every key of the settings file has to be in the operators' reference.
 func TestEverySettingIsDocumented(t *testing.T) {
-	page := read(t, "../../docs/operators/install.md")
+	page := readFile(t, "../../docs/operators/install.md")
 	for _, k := range settingKeys(reflect.TypeOf(settings.Settings{}), "") {
 		if !strings.Contains(page, "`"+k+"`") {
 			t.Errorf("%s is not documented", k)
@@ -171,6 +173,7 @@
 	}
 }
 
+// settingKeys returns the TOML keys of a settings type, with dots between the levels.
 func settingKeys(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
@@ -187,10 +190,10 @@
 
 // Files stay small enough to be read at one go.
 func TestFilesStaySmall(t *testing.T) {
-	const most = 320
+	const maxLines = 320
 	_ = filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, ".go") {
-			if n := strings.Count(read(t, path), "\n"); n > most {
+			if n := strings.Count(readFile(t, path), "\n"); n > maxLines {
 				t.Errorf("%s has %d lines", path, n)
 			}
 		}
