--- a/test/daemon_test.go
+++ b/test/daemon_test.go
@@ -12,6 +12,7 @@
 
 const waitLimit = 10 * time.Second
 
+// eventually waits until f returns true and fails the test after waitLimit.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !f(); time.Sleep(50 * time.Millisecond) {
@@ -21,9 +22,9 @@
 	}
 }
 
-// One VM runs with a folder of entries, without platform or peers. Garbage on
-// its data port, as from a scan or a broken tunnel, is counted by reason and
-// does no harm.
+// One VM runs with a folder of entries, without platform and peers. Random bytes
+// on its data port, as from a port scan or a misconfigured tunnel, have to be
+// counted by reason and must not end the daemon.
 func TestSingleVMAndGarbage(t *testing.T) {
 	root := testbed.Root()
 	bed, err := testbed.New(testbed.Config{Root: root, Examples: filepath.Join(root, "examples", "kavango"), Single: true})
@@ -58,6 +59,6 @@
 		return err == nil && m["packets_drop_geneve_version"] > 0 && m["packets_drop_foreign_source"]+m["packets_drop_packet_version"] > 0
 	})
 	if !x.Process.Running() {
-		t.Fatal("the daemon ended")
+		t.Fatal("the daemon has exited")
 	}
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -9,9 +9,9 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// A data centre is cut off from the platform but not from the others. An
-// operator's edit must be in force there as soon as elsewhere, through the
-// balancers of the other data centres.
+// A data centre is cut off from the platform but not from the other data
+// centres. An operator's edit has to be in force there as soon as elsewhere,
+// because its balancers receive it from those of the other data centres.
 func TestVersionsReachACentreWithoutPlatform(t *testing.T) {
 	sc := experiment.ScenarioByName("steady", 8*time.Second)
 	sc.Act = func(bed *testbed.Bed, o *experiment.Outcome) error {
@@ -20,7 +20,7 @@
 			return err
 		}
 		before := storeErrors(t, bed)
-		eventually(t, "its readers cannot read", func() bool { return storeErrors(t, bed) > before })
+		eventually(t, "store reads fail in the isolated data centre", func() bool { return storeErrors(t, bed) > before })
 		svc := bed.Service(bed.Services[0].Name)
 		svc.Limits.Connections += 7
 		return experiment.Edit(bed, svc, o)
@@ -33,10 +33,11 @@
 		t.Error(v)
 	}
 	if p := o.Percentile(1); len(o.InForce) != 7 || p > time.Second {
-		t.Errorf("%d balancers have the change, the last after %v", len(o.InForce), p)
+		t.Errorf("the change is in force at %d balancers, at the last after %v", len(o.InForce), p)
 	}
 }
 
+// storeErrors returns the sum of all balancers' store errors.
 func storeErrors(t *testing.T, bed *testbed.Bed) float64 {
 	t.Helper()
 	sum := 0.0
--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -1,5 +1,6 @@
-// Package test runs the built programs as a deployment on loopback, behind the
-// fault-injecting relay, one test for each failure that the users name.
+// Package test runs the built programs as a deployment on loopback, connected
+// through the fault-injecting relay, with one test for each required failure
+// scenario.
 package test
 
 import (
@@ -9,7 +10,7 @@
 	"rosedale.dev/rosedale/internal/experiment"
 )
 
-// run runs a scenario and checks what must always hold.
+// run runs a scenario and checks what must hold in every scenario.
 func run(t *testing.T, name, deployment string, d time.Duration) *experiment.Outcome {
 	t.Helper()
 	sc := experiment.ScenarioByName(name, d)
@@ -27,7 +28,7 @@
 		}
 	}
 	if o.Callers.StreamsOpened == 0 || o.Callers.Answered == 0 {
-		t.Error("the callers did nothing")
+		t.Error("no stream was opened or no request answered")
 	}
 	if o.MaxSlots > 2 {
 		t.Errorf("a target ran %d requests in 2 slots", o.MaxSlots)
@@ -36,18 +37,18 @@
 }
 
 // An operator replaces all seven balancers one by one, edits the catalogue with
-// each and drains a target. Archivists' streams stay open through all of it,
-// and no note is lost or doubled.
+// each replacement and drains a target. All streams stay open, and no request is
+// lost or run twice.
 func TestRollingReplacementBreaksNothing(t *testing.T) {
 	o := run(t, "rolling", "kavango", 28*time.Second)
 	if p := o.Percentile(0.99); p > time.Second {
-		t.Errorf("a change took %v to be in force", p)
+		t.Errorf("a change was in force only after %v", p)
 	}
 }
 
-// A balancer dies without a word just after a target began to drain. Streams
-// that passed it go on through the others, which learned their targets from
-// passing answers.
+// A balancer is killed just after a target began to drain. Its streams continue
+// through the other balancers, which learned the streams' targets from answers
+// that passed them.
 func TestKilledBalancerBreaksFewFlows(t *testing.T) {
 	o := run(t, "killed", "saryarka", 9*time.Second)
 	if o.Broken() > 1 {
@@ -55,9 +56,9 @@
 	}
 }
 
-// A balancer is paused for five seconds, is declared dead, and wakes with the
-// view of the time before. It must not admit holds on slots that its successor
-// has given away, and none may run twice.
+// A balancer is paused for five seconds, is marked dead by its peers, and resumes
+// with an outdated view. It must not admit requests to slots that the new home
+// has assigned meanwhile, and no request may run twice.
 func TestPausedBalancerDoesNoHarm(t *testing.T) {
 	o := run(t, "paused", "saryarka", 11*time.Second)
 	if o.Broken() > 1 {
@@ -65,19 +66,19 @@
 	}
 }
 
-// The store is down while a balancer is replaced. The new one takes the
+// The store is down while a balancer is replaced. The new process receives the
 // catalogue from its peers and serves; an edit after the outage is in force
-// everywhere within seconds.
+// everywhere within six seconds.
 func TestStoreOutageStopsNothing(t *testing.T) {
 	o := run(t, "store-outage", "kavango", 12*time.Second)
 	if p := o.Percentile(1); p > 6*time.Second {
-		t.Errorf("the change took %v after the outage", p)
+		t.Errorf("the change was in force only %v after the outage", p)
 	}
 }
 
-// A data centre is cut off for six seconds while the fabric sprays over both
-// parts. Streams resume when it heals; new requests go to what each part
-// reaches.
+// A data centre is cut off for six seconds while the fabric sends packets to the
+// balancers of both parts. Streams resume afterwards; meanwhile each part sends
+// new requests to the targets that it reaches.
 func TestCutDataCentreResumes(t *testing.T) {
 	o := run(t, "centre-cut", "kavango", 14*time.Second)
 	if o.Callers.StreamsBroken > 0 {
@@ -85,14 +86,14 @@
 	}
 }
 
-// Three targets refuse every opening while their health endpoints claim that
-// they are idle. Callers see nothing of it.
+// Three targets refuse every opening while their health endpoints report that
+// they are idle. No caller may be affected.
 func TestSheddingTargetsAreAvoided(t *testing.T) {
 	run(t, "shedding", "saryarka", 10*time.Second)
 }
 
-// A target drops everything while its health endpoint claims that it is well.
-// New flows find other targets after the first ones timed out.
+// A target drops every packet while its health endpoint reports that it is
+// healthy. New flows go to other targets after the first openings timed out.
 func TestLyingHealthEndpoint(t *testing.T) {
 	o := run(t, "dead-target", "kavango", 9*time.Second)
 	if n := o.Callers.Refused + o.Callers.StreamsFailed; n > o.Callers.Requests/100 {
@@ -100,9 +101,10 @@
 	}
 }
 
-// Something between the ends forgets five streams while others of the same
-// target go on. Their callers, who talk now and then, are reset within seconds
-// and can reconnect, rather than wait for their own patience to end.
+// A middlebox loses the state of five streams while other streams of the same
+// target continue. The callers of the five, which send from time to time, have to
+// be reset within seconds, so that they reconnect instead of waiting for their
+// own timeouts.
 func TestSilentStreamsAreReset(t *testing.T) {
 	o := run(t, "silent", "kavango", 22*time.Second)
 	c := o.Callers
@@ -111,15 +113,16 @@
 	}
 }
 
-// The network between balancers loses, doubles and reorders, and so does the
-// fabric. Nothing breaks, runs twice or reaches another caller.
+// The network between balancers loses, duplicates, delays and reorders packets,
+// and the fabric loses and duplicates them. No flow may break, no request may run
+// twice, and no answer may reach another caller.
 func TestLossyNetwork(t *testing.T) {
 	run(t, "lossy", "saryarka", 8*time.Second)
 }
 
-// One balancer dies and another is paused while the store is down and packets
-// between balancers are lost. Callers whose flows only those two knew may lose
-// them; nothing runs twice, and what was refused did not run.
+// One balancer is killed and another paused while the store is down and packets
+// between balancers are lost. Flows known only to these two balancers may break.
+// No request may run twice, and a refused request must not have run.
 func TestThreeFaultsAtOnce(t *testing.T) {
 	o := run(t, "three-faults", "saryarka", 14*time.Second)
 	if o.Broken() > 2 {
@@ -127,8 +130,8 @@
 	}
 }
 
-// Callers ask for 1.4 times what the slots can do. The excess is refused at its
-// deadline without having run, and what is admitted is answered.
+// Callers send 1.4 times as many requests as the slots can serve. The excess is
+// refused at its deadline without having run, and admitted requests are answered.
 func TestOverloadIsRefusedNotRun(t *testing.T) {
 	o := run(t, "overload", "saryarka", 8*time.Second)
 	if o.Callers.Refused == 0 {
--- a/test/targets_test.go
+++ b/test/targets_test.go
@@ -10,14 +10,14 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
-// leaveLimit is how soon a leaving target must get no new work.
-const leaveLimit = 3 * time.Second
+// drainLimit is the time after which a draining target must get no new flows.
+const drainLimit = 3 * time.Second
 
-// An operator drains a target that has streams and gets requests all the time.
-// Three seconds later no balancer sends it anything new, and its streams are
-// all still open.
+// An operator drains a target that has streams and receives requests all the
+// time. After drainLimit no balancer may send it a new flow, and all its streams
+// are still open.
 func TestDrainedTargetGetsNoNewFlows(t *testing.T) {
-	var after, end target.Stats
+	var atLimit, later target.Stats
 	sc := experiment.ScenarioByName("steady", 13*time.Second)
 	sc.Act = func(bed *testbed.Bed, o *experiment.Outcome) error {
 		svc := bed.Service("catalogue")
@@ -25,13 +25,13 @@
 		if err := experiment.Edit(bed, svc, o); err != nil {
 			return err
 		}
-		time.Sleep(leaveLimit)
+		time.Sleep(drainLimit)
 		var err error
-		if after, err = statsOf(bed, svc.Targets[0].Address.String()); err != nil {
+		if atLimit, err = statsOf(bed, svc.Targets[0].Address.String()); err != nil {
 			return err
 		}
 		time.Sleep(3 * time.Second)
-		end, err = statsOf(bed, svc.Targets[0].Address.String())
+		later, err = statsOf(bed, svc.Targets[0].Address.String())
 		return err
 	}
 	o, err := experiment.RunScenario(sc, experiment.Options{Deployment: "kavango", Policy: "bounded", Streams: 100})
@@ -41,17 +41,18 @@
 	for _, v := range o.Violations(true) {
 		t.Error(v)
 	}
-	if after.Opened == 0 || after.Streams == 0 {
-		t.Fatalf("the target had no work before: %+v", after)
+	if atLimit.Opened == 0 || atLimit.Streams == 0 {
+		t.Fatalf("the target had no flows before: %+v", atLimit)
 	}
-	if end.Opened != after.Opened {
-		t.Errorf("%d new flows later than %v after the drain", end.Opened-after.Opened, leaveLimit)
+	if later.Opened != atLimit.Opened {
+		t.Errorf("%d new flows more than %v after the drain", later.Opened-atLimit.Opened, drainLimit)
 	}
-	if end.Streams != after.Streams {
-		t.Errorf("%d of %d streams are left", end.Streams, after.Streams)
+	if later.Streams != atLimit.Streams {
+		t.Errorf("%d of %d streams are still open", later.Streams, atLimit.Streams)
 	}
 }
 
+// statsOf returns the statistics of the target with an address.
 func statsOf(bed *testbed.Bed, addr string) (target.Stats, error) {
 	all, err := bed.Stats()
 	for _, s := range all {
@@ -62,9 +63,9 @@
 	return target.Stats{}, err
 }
 
-// Each data centre is a group of its own, and callers come in at the first. The
-// operator drains all its targets. Streams that it has go on; new requests are
-// served by the other data centres' targets, and no caller notices.
+// Each data centre is a group of its own, and all callers enter at the first one.
+// The operator drains all targets there. Its open streams continue; new requests
+// are served by targets of the other data centres, and none is refused.
 func TestFlowsSpillToAnotherGroup(t *testing.T) {
 	sc := experiment.ScenarioByName("steady", 12*time.Second)
 	sc.SlotUse = 0.2
