--- a/test/soak/era_test.go
+++ b/test/soak/backups_test.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// backupPause is the time between two copies of the store, of which the last ones are
-	// kept.
-	backupPause = 500 * time.Millisecond
-	backupsKept = 10
+	// backupInterval is the time between two backups of the store, of which the newest
+	// backupsKept are kept.
+	backupInterval = 500 * time.Millisecond
+	backupsKept    = 10
 	// heartbeat is the time within which every target writes its entry again.
 	heartbeat = 1200 * time.Millisecond
 )
 
-// drill has the store come back from an older copy now and then, beside the faults. It
-// draws numbers of its own, so that a seed's faults stay as they are.
-func (w *world) drill(r *rand.Rand, until time.Time) {
+// restoreBackups restores the store from an older backup every few seconds, in parallel
+// to the faults. It has a random generator of its own, so that a seed always gives the
+// same faults.
+func (w *world) restoreBackups(r *rand.Rand, until time.Time) {
 	var copies []direct.Backup
 	due := time.Now().Add(time.Duration(2000+r.IntN(4000)) * time.Millisecond)
 	for time.Now().Before(until) {
 		copies = append(copies, w.store.Backup())
 		copies = copies[max(0, len(copies)-backupsKept):]
-		time.Sleep(backupPause)
+		time.Sleep(backupInterval)
 		if time.Now().Before(due) {
 			continue
 		}
-		w.comeBack(r, copies[r.IntN(len(copies))])
+		w.restoreBackup(r, copies[r.IntN(len(copies))])
 		copies = nil
 		due = time.Now().Add(time.Duration(3000+r.IntN(4000)) * time.Millisecond)
 	}
 }
 
-// comeBack loses what was written since a copy. The operator and the targets that live
-// write it again.
-func (w *world) comeBack(r *rand.Rand, b direct.Backup) {
+// restoreBackup restores the store from a backup, which loses later writes. The operator
+// and the running targets repeat theirs within a heartbeat.
+func (w *world) restoreBackup(r *rand.Rand, b direct.Backup) {
 	w.mu.Lock()
-	w.done["store from an older copy"]++
+	w.faultCounts["store from an older copy"]++
 	w.store.FailAll(direct.Busy)
 	w.mu.Unlock()
 	time.Sleep(time.Duration(r.IntN(1500)) * time.Millisecond)
@@ -46,10 +47,10 @@
 	defer w.mu.Unlock()
 	w.store.ComeBack(b)
 	w.store.FailAll(direct.Healthy)
-	w.again(r, w.putCatalogue)
-	w.again(r, w.putEvacuation)
+	w.rewriteLater(r, w.putCatalogue)
+	w.rewriteLater(r, w.putEvacuation)
 	for _, x := range w.targets {
-		w.again(r, func() {
+		w.rewriteLater(r, func() {
 			if !x.ended.Load() {
 				x.Register()
 			}
@@ -57,8 +58,8 @@
 	}
 }
 
-// again writes something again within a heartbeat.
-func (w *world) again(r *rand.Rand, write func()) {
+// rewriteLater calls write after a random time of at most a heartbeat.
+func (w *world) rewriteLater(r *rand.Rand, write func()) {
 	time.AfterFunc(time.Duration(r.Int64N(int64(heartbeat))), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -12,13 +12,14 @@
 )
 
 var (
-	previews = netip.MustParseAddrPort("198.18.0.1:443") // may run again
-	notes    = netip.MustParseAddrPort("198.18.0.2:443") // must run once at most
-	extra    = netip.MustParseAddrPort("198.18.0.3:443") // comes and goes
+	previews = netip.MustParseAddrPort("198.18.0.1:443") // requests may run twice
+	notes    = netip.MustParseAddrPort("198.18.0.2:443") // requests must run at most once
+	extra    = netip.MustParseAddrPort("198.18.0.3:443") // route is added and removed during the faults
 )
 
-// call is a caller: some requests on an open flow, some on flows of their own.
-func (w *world) call(rng, late *rand.Rand, id int) {
+// runCaller runs one caller, which opens flows one after another and sends one to
+// eight requests on each.
+func (w *world) runCaller(rng, late *rand.Rand, id int) {
 	defer w.callers.Done()
 	c, err := direct.NewCaller(w.ip(1, id), dataPort)
 	if err != nil {
@@ -29,14 +30,14 @@
 	c.Late = w.lateCopies(late)
 	for n := 0; !w.stopping.Load(); n++ {
 		to := []netip.AddrPort{previews, notes}[rng.IntN(2)]
-		fl, err := c.Open(to, w.balancer(rng))
+		fl, err := c.Open(to, w.chooseBalancer(rng))
 		if err != nil {
 			w.lost.Add(1)
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		for i := range 1 + rng.IntN(8) {
-			if !w.ask(rng, fl, to, fmt.Sprintf("c%d-%d-%d", id, n, i)) {
+			if !w.sendRequest(rng, fl, to, fmt.Sprintf("c%d-%d-%d", id, n, i)) {
 				break
 			}
 			time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
@@ -45,8 +46,9 @@
 	}
 }
 
-// balancer is what the routers choose: a ready one, or any if few are ready.
-func (w *world) balancer(rng *rand.Rand) netip.AddrPort {
+// chooseBalancer chooses a balancer as the platform's routers do: a ready one, or any
+// if less than half are ready.
+func (w *world) chooseBalancer(rng *rand.Rand) netip.AddrPort {
 	var up []*node
 	for _, n := range w.nodes {
 		if n.ready.Load() {
@@ -59,16 +61,16 @@
 	return netip.AddrPortFrom(up[rng.IntN(len(up))].addr, dataPort)
 }
 
-// ask sends one request on an open flow, whose packets may come to another
-// balancer than before.
-func (w *world) ask(rng *rand.Rand, fl *direct.Flow, to netip.AddrPort, body string) bool {
-	w.asked.Add(1)
+// sendRequest sends one request on an open flow through newly chosen balancers and
+// checks the answer. It returns false if the request failed.
+func (w *world) sendRequest(rng *rand.Rand, fl *direct.Flow, to netip.AddrPort, body string) bool {
+	w.sent.Add(1)
 	w.callerOf.Store(body, fl.Local())
-	fl.Via = w.balancer(rng)
-	answer, err := fl.AskAnywhere(body, 4*time.Second, func() netip.AddrPort { return w.balancer(rng) })
+	fl.Via = w.chooseBalancer(rng)
+	answer, err := fl.AskAnywhere(body, 4*time.Second, func() netip.AddrPort { return w.chooseBalancer(rng) })
 	if err != nil {
 		w.lost.Add(1)
-		w.mayEnd(fl, err, body)
+		w.checkReset(fl, err, body)
 		return false
 	}
 	w.answered.Add(1)
@@ -82,19 +84,20 @@
 	return true
 }
 
-// mayEnd checks that a flow ended only with its target, or the start that held it.
-func (w *world) mayEnd(fl *direct.Flow, err error, body string) {
+// checkReset checks that a flow was reset only because its target, or the start of the
+// target that accepted the flow, has ended.
+func (w *world) checkReset(fl *direct.Flow, err error, body string) {
 	if !errors.Is(err, direct.ErrReset) {
 		return
 	}
-	if x := w.holder(fl); x != nil && !x.ended.Load() && x.Holds(fl.Peer()) {
-		w.t.Errorf("flow of request %s was reset while the start of its target %s that holds it lives", body, x.Name())
+	if x := w.targetOf(fl); x != nil && !x.ended.Load() && x.Holds(fl.Peer()) {
+		w.t.Errorf("flow of request %s was reset although the start of target %s that accepted it is running", body, x.Name())
 		w.trace(fl.Local())
 	}
 }
 
-// holder returns the target whose cookie a flow carries.
-func (w *world) holder(fl *direct.Flow) *tracked {
+// targetOf returns the target that a flow's cookie names, or nil.
+func (w *world) targetOf(fl *direct.Flow) *tracked {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range w.targets {
@@ -105,6 +108,7 @@
 	return nil
 }
 
+// target returns the target with a name, or nil.
 func (w *world) target(name string) *tracked {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,15 +120,15 @@
 	return nil
 }
 
-// stop ends the callers.
-func (w *world) stop() {
+// stopCallers stops the callers and waits for them.
+func (w *world) stopCallers() {
 	w.stopping.Store(true)
 	w.callers.Wait()
 }
 
-// settled checks, after all faults, that every balancer has the newest desired
-// state, list of targets and evacuation in force, and that no request ran twice.
-func (w *world) settled(evacuated bool) {
+// checkRecovered checks, after the end of all faults, that every balancer has the newest
+// desired state, list of targets and evacuation in force, and that no request ran twice.
+func (w *world) checkRecovered(evacuated bool) {
 	c, err := direct.NewCaller(w.ip(1, 99), dataPort)
 	if err != nil {
 		w.t.Fatal(err)
@@ -135,7 +139,7 @@
 		before[x] = x.Opened.Load()
 	}
 	for _, n := range w.nodes {
-		if !n.runs() {
+		if !n.running() {
 			w.t.Errorf("balancer %s has ended by itself: %v", n.addr, n.cmd.ProcessState)
 			continue
 		}
@@ -156,7 +160,7 @@
 		if n := x.Opened.Load() - before[x]; n > 0 && (x.ended.Load() || !x.draining.IsZero()) {
 			w.t.Errorf("target %s, draining or gone, got %d new flows", x.Name(), n)
 		}
-		if n := x.Opened.Load() - before[x]; n > 0 && evacuated && x.centre == "b" {
+		if n := x.Opened.Load() - before[x]; n > 0 && evacuated && x.dataCenter == "b" {
 			w.t.Errorf("target %s of an evacuated data centre got %d new flows", x.Name(), n)
 		}
 	}
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -8,30 +8,32 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// fault harms the world and returns how to end that, or nil.
+// fault is a kind of fault. Its function injects one and returns the function that ends
+// it, or nil if there is nothing to end.
 type fault struct {
-	name string
-	do   func(*world, *rand.Rand) func()
+	name   string
+	inject func(*world, *rand.Rand) func()
 }
 
-// faults come in any order, overlap and end after a random time.
+// faults lists the kinds of faults, which are injected in random order, overlap and end
+// after a random time.
 var faults = []fault{
-	{"kill", func(w *world, r *rand.Rand) func() { return w.end(r, syscall.SIGKILL) }},
-	{"term", func(w *world, r *rand.Rand) func() { return w.end(r, syscall.SIGTERM) }},
+	{"kill", func(w *world, r *rand.Rand) func() { return w.endBalancer(r, syscall.SIGKILL) }},
+	{"term", func(w *world, r *rand.Rand) func() { return w.endBalancer(r, syscall.SIGTERM) }},
 	{"pause", func(w *world, r *rand.Rand) func() {
-		n := w.pick(r)
+		n := w.pickBalancer(r)
 		if n == nil {
 			return nil
 		}
-		n.away = true
+		n.down = true
 		_ = n.cmd.Process.Signal(syscall.SIGSTOP)
 		return func() {
 			_ = n.cmd.Process.Signal(syscall.SIGCONT)
-			n.away = false
+			n.down = false
 		}
 	}},
 	{"hup", func(w *world, r *rand.Rand) func() {
-		if n := w.pick(r); n != nil {
+		if n := w.pickBalancer(r); n != nil {
 			_ = n.cmd.Process.Signal(syscall.SIGHUP)
 		}
 		return nil
@@ -53,21 +55,21 @@
 		return func() { n.relay.Refuse(false) }
 	}},
 	{"target crashes", func(w *world, r *rand.Rand) func() {
-		if x := w.victim(r); x != nil {
+		if x := w.pickTarget(r); x != nil {
 			x.ended.Store(true)
 			x.Stop()
 		}
 		return nil
 	}},
 	{"target silent", func(w *world, r *rand.Rand) func() {
-		if x := w.victim(r); x != nil {
+		if x := w.pickTarget(r); x != nil {
 			x.ended.Store(true)
 			x.Silence()
 		}
 		return nil
 	}},
 	{"target restarts", func(w *world, r *rand.Rand) func() {
-		x := w.victim(r)
+		x := w.pickTarget(r)
 		if x == nil {
 			return nil
 		}
@@ -75,7 +77,7 @@
 		return func() { w.restart(x, r.Int64N(10_000)-5000) }
 	}},
 	{"target restarts quickly and again", func(w *world, r *rand.Rand) func() {
-		x := w.victim(r)
+		x := w.pickTarget(r)
 		if x == nil {
 			return nil
 		}
@@ -98,7 +100,7 @@
 		}
 	}},
 	{"target drains", func(w *world, r *rand.Rand) func() {
-		if x := w.victim(r); x != nil {
+		if x := w.pickTarget(r); x != nil {
 			x.draining = time.Now()
 			x.Drain()
 		}
@@ -110,18 +112,18 @@
 	}},
 	{"desired state changes", func(w *world, r *rand.Rand) func() {
 		w.extra = r.IntN(2) == 0
-		w.change()
+		w.changeCatalogue()
 		return nil
 	}},
 }
 
-// harm begins a fault and ends it after a while.
-func (w *world) harm(r *rand.Rand) {
+// injectFault injects a random fault and ends it after 0.5 to 3 seconds.
+func (w *world) injectFault(r *rand.Rand) {
 	f := faults[r.IntN(len(faults))]
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.done[f.name]++
-	undo := f.do(w, r)
+	w.faultCounts[f.name]++
+	undo := f.inject(w, r)
 	if undo == nil {
 		return
 	}
@@ -132,16 +134,16 @@
 	})
 }
 
-// handlesSignals is how long after its start a process is left alone: a signal in
-// its first 3 ms ends any program of Go, and one that has ended by itself fails the
-// run.
-const handlesSignals = 200 * time.Millisecond
+// signalGrace is the time after its start during which a process gets no signal. Any Go
+// program is ended by a signal in its first 3 ms, before its runtime handles signals, and
+// a balancer that exits by itself fails the run.
+const signalGrace = 200 * time.Millisecond
 
-// pick returns a balancer that runs, or nil if too few do.
-func (w *world) pick(r *rand.Rand) *node {
+// pickBalancer returns a random running balancer, or nil unless more than half are running.
+func (w *world) pickBalancer(r *rand.Rand) *node {
 	var up []*node
 	for _, n := range w.nodes {
-		if !n.away && time.Since(n.started) > handlesSignals {
+		if !n.down && time.Since(n.started) > signalGrace {
 			up = append(up, n)
 		}
 	}
@@ -151,13 +153,14 @@
 	return up[r.IntN(len(up))]
 }
 
-// end ends a balancer's process, which starts again some time later.
-func (w *world) end(r *rand.Rand, s syscall.Signal) func() {
-	n := w.pick(r)
+// endBalancer sends a signal that ends a balancer's process. The returned function waits
+// for the end, checks a planned stop and starts the balancer again.
+func (w *world) endBalancer(r *rand.Rand, s syscall.Signal) func() {
+	n := w.pickBalancer(r)
 	if n == nil {
 		return nil
 	}
-	n.away = true
+	n.down = true
 	cmd, ended := n.cmd, n.ended
 	_ = cmd.Process.Signal(s)
 	return func() {
@@ -165,24 +168,24 @@
 		<-ended
 		if s == syscall.SIGTERM {
 			if took := time.Since(began); took > 4*time.Second {
-				w.t.Errorf("a planned stop took %v more", took)
+				w.t.Errorf("a planned stop took %v longer than the fault", took)
 			}
 			if code := cmd.ProcessState.ExitCode(); code != 0 {
-				w.t.Errorf("a planned stop ended with %d", code)
+				w.t.Errorf("a planned stop ended with exit code %d", code)
 			}
 		}
 		w.start(n)
 	}
 }
 
-// crash ends a target that will start again.
+// crash stops a target and marks it as ended.
 func (x *tracked) crash() {
 	x.ended.Store(true)
 	x.Stop()
 }
 
-// restart starts a target again under its identifier; step is by how much its clock
-// was set meanwhile, in milliseconds.
+// restart starts a target again under the same identifier, with its clock moved by step
+// milliseconds.
 func (w *world) restart(x *tracked, step int64) {
 	if err := x.Restart(time.Now().UnixMilli() + step); err != nil {
 		w.t.Error(err)
@@ -190,13 +193,15 @@
 	x.ended.Store(false)
 }
 
+// failStore sets a fault of the store and returns the function that ends it.
 func (w *world) failStore(x direct.Fault) func() {
 	w.store.FailAll(x)
 	return func() { w.store.FailAll(direct.Healthy) }
 }
 
-// victim returns a target that nothing was done to, if its service has enough.
-func (w *world) victim(r *rand.Rand) *tracked {
+// pickTarget returns a random target, or nil if that one has ended or drains, or if its
+// service has no more than two targets without such changes.
+func (w *world) pickTarget(r *rand.Rand) *tracked {
 	x := w.targets[r.IntN(len(w.targets))]
 	left := 0
 	for _, o := range w.targets {
@@ -210,9 +215,9 @@
 	return x
 }
 
-// operate evacuates a data centre and takes it back, again and again, beside the faults. It
-// draws numbers of its own, so that a seed's faults stay as they are.
-func (w *world) operate(r *rand.Rand, until time.Time) {
+// toggleEvacuation repeatedly evacuates data centre b and takes it back, in parallel to the
+// faults. It has a random generator of its own, so that a seed always gives the same faults.
+func (w *world) toggleEvacuation(r *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(500+r.IntN(2500)) * time.Millisecond)
 		w.setEvacuated(true)
@@ -221,14 +226,14 @@
 	}
 }
 
-// evacuate has data centre b evacuated for good, if the rest can serve. It reports whether
-// it did.
+// evacuate evacuates data centre b until the end of the run, if both services have targets
+// in the other data centre. It reports whether it did.
 func (w *world) evacuate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	left := map[string]bool{}
 	for _, x := range w.targets {
-		if x.centre != "b" && !x.ended.Load() && x.draining.IsZero() {
+		if x.dataCenter != "b" && !x.ended.Load() && x.draining.IsZero() {
 			left[x.service] = true
 		}
 	}
@@ -240,18 +245,19 @@
 	return true
 }
 
-// heal waits for the faults under way to end.
-func (w *world) heal() {
-	const longest = 3500 * time.Millisecond
-	time.Sleep(longest)
+// endFaults waits until the faults have ended, removes the entries of ended targets from
+// the store and writes a last desired state.
+func (w *world) endFaults() {
+	const maxFaultTime = 3500 * time.Millisecond
+	time.Sleep(maxFaultTime)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.store.FailAll(direct.Healthy)
 	for _, x := range w.targets {
 		if x.ended.Load() {
-			w.store.Remove("servers/" + x.Name()) // its heartbeats have stopped
+			w.store.Remove("servers/" + x.Name()) // its heartbeats have ended
 		}
 	}
 	w.extra = true
-	w.change()
+	w.changeCatalogue()
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs real balancers as processes of their own and harms them at
-// random while callers use open and new flows. What callers and targets see is
-// checked against the promises, during the faults and after them.
+// Package soak runs balancers as real processes and injects random faults while
+// callers use open and new flows. During and after the faults it checks, at callers
+// and targets, that no guarantee is violated.
 package soak
 
 import (
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// Seeds that ever failed stay here, each with the cause.
+// regressions lists the seeds that failed before a fault was fixed.
 var regressions = []uint64{
-	// A target had just registered while the store was slow; a balancer that
-	// lacked its news reset flows that others had opened there.
+	// A target had just registered while the store was slow. A balancer that had
+	// not received the registration reset flows that others had opened there.
 	2,
 	2741705829797151432,
-	// A signal came 1 ms after a process had started and ended it, and nobody
-	// started it again; so in 4116564383361792273 and 12839547385569337787.
+	// A signal 1 ms after the start of a process ended it, and it was not started
+	// again. 4116564383361792273 and 12839547385569337787 failed in the same way.
 	12394035969135028012,
 	15839160413560902178,
 	3379556818896069025,
 }
 
 const (
-	faultTime  = 10 * time.Second // faults begin in this time
-	settleTime = 5 * time.Second  // until all promises with a bound hold again
+	faultTime  = 10 * time.Second // in which faults begin
+	settleTime = 5 * time.Second  // after the last fault, until all guarantees must hold again
 )
 
-// TestSoak runs the seeds that ever failed and a few fresh ones; SOAK_SEEDS sets
-// how many, and SOAK_BALANCERS how many balancers each of them has.
+// TestSoak runs the regressions and some random seeds. The environment variable
+// SOAK_SEEDS sets the number of random seeds, SOAK_BALANCERS the number of balancers
+// in each run.
 func TestSoak(t *testing.T) {
 	seeds := append([]uint64{}, regressions...)
-	for range fresh(t) {
+	for range freshSeeds(t) {
 		seeds = append(seeds, rand.Uint64())
 	}
 	for i, seed := range seeds {
@@ -45,13 +46,14 @@
 	}
 }
 
-func fresh(t *testing.T) int { return number(t, "SOAK_SEEDS", 1) }
+// freshSeeds returns the number of random seeds.
+func freshSeeds(t *testing.T) int { return envNumber(t, "SOAK_SEEDS", 1) }
 
-// number returns what an environment variable sets.
-func number(t *testing.T, name string, otherwise int) int {
+// envNumber returns the number in an environment variable, or fallback if it is not set.
+func envNumber(t *testing.T, name string, fallback int) int {
 	v := os.Getenv(name)
 	if v == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
@@ -60,36 +62,37 @@
 	return n
 }
 
+// soak runs one seed. The block selects its loopback addresses.
 func soak(t *testing.T, block int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	w := newWorld(t, block)
 	for i := range 6 {
 		w.callers.Add(1)
-		go w.call(rand.New(rand.NewPCG(seed, uint64(100+i))), rand.New(rand.NewPCG(seed, uint64(200+i))), i)
+		go w.runCaller(rand.New(rand.NewPCG(seed, uint64(100+i))), rand.New(rand.NewPCG(seed, uint64(200+i))), i)
 	}
 	time.Sleep(time.Second)
 	end := time.Now().Add(faultTime)
-	var beside sync.WaitGroup
-	beside.Go(func() { w.operate(rand.New(rand.NewPCG(seed, 8)), end) })
-	if os.Getenv("SOAK_OLD") == "" { // older versions know no eras
-		beside.Go(func() { w.drill(rand.New(rand.NewPCG(seed, 9)), end) })
+	var background sync.WaitGroup
+	background.Go(func() { w.toggleEvacuation(rand.New(rand.NewPCG(seed, 8)), end) })
+	if os.Getenv("SOAK_OLD") == "" { // older versions do not support eras
+		background.Go(func() { w.restoreBackups(rand.New(rand.NewPCG(seed, 9)), end) })
 	}
 	for time.Now().Before(end) {
-		w.harm(rng)
+		w.injectFault(rng)
 		time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 	}
-	w.heal()
-	beside.Wait()
+	w.endFaults()
+	background.Wait()
 	evacuated := w.evacuate()
 	time.Sleep(settleTime)
-	w.stop()
-	w.settled(evacuated)
+	w.stopCallers()
+	w.checkRecovered(evacuated)
 	t.Logf("seed %d: %d requests, %d answered, %d lost with their target or balancer; faults: %v",
-		seed, w.asked.Load(), w.answered.Load(), w.lost.Load(), w.done)
+		seed, w.sent.Load(), w.answered.Load(), w.lost.Load(), w.faultCounts)
 	if t.Failed() {
 		t.Logf("logs of the balancers are in %s; run it again with seed %d in regressions", w.dir, seed)
 	}
-	if w.answered.Load() < w.asked.Load()/2 {
-		t.Errorf("only %d of %d requests were answered", w.answered.Load(), w.asked.Load())
+	if w.answered.Load() < w.sent.Load()/2 {
+		t.Errorf("only %d of %d requests were answered", w.answered.Load(), w.sent.Load())
 	}
 }
--- a/test/soak/trace_test.go
+++ b/test/soak/trace_test.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// maxTraced bounds the flows of which a failed run prints what balancers logged: CI keeps
-// its output and no files.
+// maxTraced bounds the flows whose log lines a failed run prints. They are printed because
+// CI keeps the output but no files.
 const maxTraced = 3
 
-// trace prints what the balancers logged about a caller's flow.
+// trace prints the log lines of all balancers about a caller's flow.
 func (w *world) trace(caller netip.AddrPort) {
 	if w.traced.Add(1) > maxTraced {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// traceRequest prints what the balancers logged about the flow of a request.
+// traceRequest prints the log lines of all balancers about the flow of a request.
 func (w *world) traceRequest(body string) {
 	if caller, ok := w.callerOf.Load(body); ok {
 		w.trace(caller.(netip.AddrPort))
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -15,20 +15,21 @@
 	"rosedale.dev/rosedale/internal/standin/direct"
 )
 
-// Size of a soaked deployment.
+// Size of a deployment, and the port of its data path.
 const (
-	usualBalancers = 5
-	targets        = 6 // of each service
-	dataPort       = 18500
+	defaultBalancers  = 5
+	targetsPerService = 6
+	dataPort          = 18500
 )
 
-// centre returns the data centre of the i-th balancer or target: both have some of each.
-func centre(i int) string { return [...]string{"a", "b"}[i/2%2] }
+// dataCenter returns the data centre of the i-th balancer or target, so that both data
+// centres have some of each.
+func dataCenter(i int) string { return [...]string{"a", "b"}[i/2%2] }
 
-// evacuation is the key with which an operator evacuates data centre b.
-const evacuation = "op/evacuate/b"
+// evacuationKey is the store key that evacuates data centre b.
+const evacuationKey = "op/evacuate/b"
 
-// world is a deployment under faults.
+// world is a deployment to which faults are injected.
 type world struct {
 	t     *testing.T
 	block int
@@ -40,17 +41,17 @@
 	targets []*tracked
 	version int
 	extra   bool // the extra route is in the desired state
-	// evacuated tells that the operator has data centre b evacuated.
-	evacuated bool
-	done      map[string]int
-	stopping  atomic.Bool
-	starts    atomic.Int64
-	callers   sync.WaitGroup
-	ran       direct.RunLog
-	callerOf  sync.Map // of a request, by its body: netip.AddrPort
-	traced    atomic.Int64
-
-	asked, answered, lost atomic.Int64
+	// evacuated is set while data centre b is evacuated.
+	evacuated   bool
+	faultCounts map[string]int
+	stopping    atomic.Bool
+	starts      atomic.Int64
+	callers     sync.WaitGroup
+	ran         direct.RunLog
+	callerOf    sync.Map // callers' addresses (netip.AddrPort) by request body
+	traced      atomic.Int64
+
+	sent, answered, lost atomic.Int64
 }
 
 // node is a balancer's process.
@@ -63,39 +64,41 @@
 	started time.Time
 	out     *os.File
 	ready   atomic.Bool
-	away    bool // killed or stopped on purpose
+	down    bool // killed or paused by a fault
 }
 
-// tracked is a target and what was done to it.
+// tracked is a target and the faults and changes applied to it.
 type tracked struct {
 	*direct.Target
-	service  string
-	centre   string
-	draining time.Time
-	ended    atomic.Bool // crashed, silent or gone: its flows may be reset
+	service    string
+	dataCenter string
+	draining   time.Time
+	ended      atomic.Bool // crashed, silent or removed, so that its flows may be reset
 }
 
+// ip returns a loopback address that differs between processes, seeds and roles:
+// 0 for balancers, 1 for callers, 2 for targets.
 func (w *world) ip(role, i int) netip.Addr {
-	const nets, least = 200, 20
-	n := byte(least + os.Getpid()%nets)
+	const nets, first = 200, 20
+	n := byte(first + os.Getpid()%nets)
 	return netip.AddrFrom4([4]byte{127, n, byte(w.block*3 + role), byte(i + 1)})
 }
 
 func newWorld(t *testing.T, block int) *world {
 	t.Helper()
-	w := &world{t: t, block: block, done: map[string]int{}}
+	w := &world{t: t, block: block, faultCounts: map[string]int{}}
 	w.dir = t.ArtifactDir()
 	var err error
 	if w.store, err = direct.NewStore(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.store.Close)
-	w.change()
-	for range targets {
+	w.changeCatalogue()
+	for range targetsPerService {
 		w.addTarget("catalogue")
 		w.addTarget("scan-store")
 	}
-	for i := range number(t, "SOAK_BALANCERS", usualBalancers) {
+	for i := range envNumber(t, "SOAK_BALANCERS", defaultBalancers) {
 		w.addNode(i)
 	}
 	for _, n := range w.nodes {
@@ -111,14 +114,14 @@
 func (w *world) addTarget(service string) {
 	n := len(w.targets)
 	addr := netip.AddrPortFrom(w.ip(2, n), 8080)
-	x, err := direct.NewTarget(w.store, uint64(0xb000000001+n), addr.String(), service, centre(n), dataPort)
+	x, err := direct.NewTarget(w.store, uint64(0xb000000001+n), addr.String(), service, dataCenter(n), dataPort)
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
 	w.t.Cleanup(x.Stop)
 	x.Log = &w.ran
-	w.targets = append(w.targets, &tracked{Target: x, service: service, centre: centre(n)})
+	w.targets = append(w.targets, &tracked{Target: x, service: service, dataCenter: dataCenter(n)})
 }
 
 func (w *world) addNode(i int) {
@@ -129,7 +132,7 @@
 	w.t.Cleanup(relay.Close)
 	n := &node{addr: w.ip(0, i), relay: relay, boot: filepath.Join(w.dir, "boot-"+w.ip(0, i).String()+".json")}
 	settings := direct.Settings{
-		VM: n.addr.String(), DataCenter: centre(i), GraceS: 4, Store: relay.Addr,
+		VM: n.addr.String(), DataCenter: dataCenter(i), GraceS: 4, Store: relay.Addr,
 		Data: netip.AddrPortFrom(n.addr, dataPort), Ready: netip.AddrPortFrom(n.addr, 17001), Control: netip.AddrPortFrom(n.addr, 17002),
 	}
 	for _, o := range w.nodes[:min(len(w.nodes), 3)] {
@@ -143,11 +146,11 @@
 	}
 	w.nodes = append(w.nodes, n)
 	w.start(n)
-	go w.probe(n)
+	go w.pollReadiness(n)
 }
 
-// program returns the program to start: every other one is the older one that
-// SOAK_OLD names, as while a fleet is upgraded.
+// program returns the path of the program to start. If SOAK_OLD names an older build,
+// every other start uses it, as during the upgrade of a fleet.
 func (w *world) program() string {
 	old := os.Getenv("SOAK_OLD")
 	if old != "" && w.starts.Add(1)%2 == 0 {
@@ -156,7 +159,7 @@
 	return "../../bin/rosedale-edge"
 }
 
-// start runs a balancer's program. Only processes started here are ever ended.
+// start starts a balancer's process. Only processes started here are ever ended.
 func (w *world) start(n *node) {
 	n.cmd = exec.Command(w.program())
 	n.cmd.Env = append(os.Environ(), "ROSEDALE_BOOT="+n.boot)
@@ -166,12 +169,12 @@
 		w.t.Error(err)
 		return
 	}
-	n.away = false
+	n.down = false
 	n.started = time.Now()
 	cmd, ended := n.cmd, make(chan struct{})
 	n.ended = ended
 	go func() {
-		_ = cmd.Wait() // the process's state says more than the error
+		_ = cmd.Wait() // checkRecovered and endBalancer read the ProcessState
 		close(ended)
 	}()
 	w.t.Cleanup(func() {
@@ -180,8 +183,8 @@
 	})
 }
 
-// runs reports whether a balancer's process has not ended.
-func (n *node) runs() bool {
+// running reports whether a balancer's process has not ended.
+func (n *node) running() bool {
 	select {
 	case <-n.ended:
 		return false
@@ -190,8 +193,9 @@
 	}
 }
 
-// probe asks a balancer for its readiness, as the platform's routers do.
-func (w *world) probe(n *node) {
+// pollReadiness polls a balancer's readiness as the platform's routers do: it is
+// not ready after two failures in a row, and ready otherwise.
+func (w *world) pollReadiness(n *node) {
 	client := http.Client{Timeout: 400 * time.Millisecond}
 	for misses := 0; !w.stopping.Load(); time.Sleep(200 * time.Millisecond) {
 		resp, err := client.Get("http://" + netip.AddrPortFrom(n.addr, 17001).String() + "/readiness")
@@ -207,13 +211,13 @@
 	}
 }
 
-// change writes a new desired state, with or without the extra route.
-func (w *world) change() {
+// changeCatalogue writes a new version of the desired state.
+func (w *world) changeCatalogue() {
 	w.version += 1 + w.version%3
 	w.putCatalogue()
 }
 
-// putCatalogue writes the desired state.
+// putCatalogue writes the current desired state, with or without the extra route.
 func (w *world) putCatalogue() {
 	routes := []direct.Route{{Address: previews, Service: "catalogue"}, {Address: notes, Service: "scan-store", Once: true}}
 	if w.extra {
@@ -222,7 +226,7 @@
 	w.store.PutCatalogue(w.version, routes...)
 }
 
-// setEvacuated has data centre b evacuated or taken back.
+// setEvacuated evacuates data centre b or takes it back.
 func (w *world) setEvacuated(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,11 +234,11 @@
 	w.putEvacuation()
 }
 
-// putEvacuation writes whether data centre b is evacuated.
+// putEvacuation writes or removes evacuationKey, depending on evacuated.
 func (w *world) putEvacuation() {
 	if w.evacuated {
-		w.store.Put(evacuation, map[string]any{})
+		w.store.Put(evacuationKey, map[string]any{})
 	} else {
-		w.store.Remove(evacuation)
+		w.store.Remove(evacuationKey)
 	}
 }
