--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -1,6 +1,6 @@
 package direct
 
-// Answer classifies how a request ended, judging by the caller's packets alone.
+// Answer classifies how a request ended, as far as the caller's packets show it.
 type Answer uint8
 
 // The outcomes of a request.
@@ -8,7 +8,7 @@
 	AnswerGood  Answer = iota
 	AnswerSlow         // later than slowFactor times the baseline
 	AnswerShort        // a fraction of the baseline's bytes, as error responses have
-	AnswerNone         // nothing was acknowledged
+	AnswerNone         // the caller acknowledged no data of an answer
 	answerCount
 )
 
@@ -20,8 +20,9 @@
 // Answers returns all outcomes of a request.
 func Answers() []Answer { return enumValues(answerCount) }
 
-// weight returns how much of a bad request the answer counts as. A slow answer counts half:
-// the request was served, and the load already makes slow targets less likely to be chosen.
+// weight returns the fraction of a bad request that the answer counts as. A slow answer counts
+// half: the request was served, and the load already makes slow targets less likely to be
+// chosen.
 func (a Answer) weight() float64 {
 	switch a {
 	case AnswerGood:
--- a/internal/direct/catalogue.go
+++ b/internal/direct/catalogue.go
@@ -35,8 +35,8 @@
 // Service holds the catalogue's settings for the targets of one service.
 type Service struct {
 	Name       string
-	HealthPath string
-	MaxConns   int // open flows per target
+	HealthPath string // URL path of the health check
+	MaxConns   int    // open flows per target
 	// ColdFor is how long a target warms up after a start or an evacuation. ColdRate is how
 	// many requests a second it can serve until then; 0 means no limit.
 	ColdFor  time.Duration
--- a/internal/direct/dead.go
+++ b/internal/direct/dead.go
@@ -45,7 +45,7 @@
 }
 
 // PeerFoundDead handles the report of another balancer that a target does not answer checks
-// while callers wait there in vain. It returns the flows to reset at once.
+// while callers of that balancer wait for answers. It returns the flows to reset at once.
 //
 // If all flows of this balancer at the target are idle, its own failed checks are not
 // sufficient evidence, and the flows would stay open until a request is lost on one of them.
--- a/internal/direct/ended.go
+++ b/internal/direct/ended.go
@@ -12,8 +12,8 @@
 //
 // A target that was found dead may have started again under its identifier, and another
 // balancer that knows may have opened a flow there. A balancer without that update must not
-// reset the flow. So a flow first seen after the target was found dead goes on until a check
-// that began later finds it dead too, or a later complete list lacks the target.
+// reset the flow. So a flow first seen after the target was found dead is kept until a check
+// that began later finds the target dead too, or a later complete list lacks the target.
 func (f *Forwarder) resetReason(now time.Duration, t *target, k FlowKey, first time.Duration) (Reason, bool) {
 	unlisted := f.listCompleteAt > first+listMargin
 	switch {
--- a/internal/direct/evacuation.go
+++ b/internal/direct/evacuation.go
@@ -17,7 +17,7 @@
 // evacuation is an operator's request that a data centre gets no new flows.
 type evacuation struct {
 	revision revision.Revision // of the latest write of the request
-	since    time.Duration
+	since    time.Duration     // when this balancer learnt of it
 }
 
 // centreOf returns a data centre by its name.
--- a/internal/direct/flow.go
+++ b/internal/direct/flow.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// flow is what this balancer has observed of one flow. It serves to assess targets; flows
-// that are not in the table are still forwarded by their cookie.
+// flow is what this balancer has observed of one flow. It shows how well the target works;
+// flows that are not in the table are still forwarded by their cookie.
 type flow struct {
 	key          FlowKey
 	target       *target
 	triedTargets [2]TargetID // targets of earlier copies of the opening
 	open         bool        // the caller has acknowledged the target's answer
-	ended        bool        // the caller has sent its FIN
+	ended        bool        // the caller has sent a FIN or RST
 	removed      bool        // removed from the table
 	busy         bool        // a request is in flight
-	// pending is set while the target has not acknowledged the caller's latest data.
+	// pending is set from the caller's latest new data until the caller acknowledges new data
+	// of the target.
 	pending     bool
 	firstSeen   time.Duration // first packet seen here
 	lastSeen    time.Duration
--- a/internal/direct/forwarder.go
+++ b/internal/direct/forwarder.go
@@ -44,8 +44,8 @@
 	suspects       map[*target]bool         // targets that TargetsToCheck considers
 	listCompleteAt time.Duration            // see SetListCompleteAt
 	unknownCookies map[Cookie]time.Duration // first seen, for cookies without a target
-	// invalidRegistrations are targets whose registration exists but was never valid here, by
-	// cookie.
+	// invalidRegistrations are targets that are registered, but whose registration has never
+	// been valid since this balancer started, by cookie.
 	invalidRegistrations map[Cookie]TargetID
 	routelessFlows       map[FlowKey]time.Duration // first seen, for open flows without a route
 
@@ -93,7 +93,7 @@
 // Count returns how many packets were handled for a reason.
 func (f *Forwarder) Count(r Reason) uint64 { return f.counts[r] }
 
-// CountAnswers returns how many requests had an outcome.
+// CountAnswers returns how many requests ended with an outcome.
 func (f *Forwarder) CountAnswers(a Answer) uint64 { return f.outcomes.counts[a] }
 
 // Flows returns the number of flows in the table.
@@ -132,14 +132,14 @@
 // target, because the previous one has had at least 200 ms to answer
 // (TestSecondAnswerDoesNotMoveAFlow).
 //
-// If a target has just become unreachable, its callers are thus answered after one
-// retransmission.
+// If a target has just become unreachable, callers are thus answered after one retransmission
+// instead of not at all.
 func (f *Forwarder) handleOpening(now time.Duration, s *Segment, r *Route) Decision {
 	old := f.flows[s.Flow()]
 	var tried [2]TargetID
 	if old != nil && old.open && !old.ended {
-		// A late copy. The target's answer must carry the cookie again, or it would erase the
-		// caller's.
+		// A delayed copy of the opening. The target's answer must carry the cookie again, or
+		// the caller would lose it.
 		d := f.forward(old.target, Forwarded)
 		d.SetCookie = true
 		return d
@@ -231,7 +231,8 @@
 	return f.forward(t, reason)
 }
 
-// targetOf returns the target that holds the flow.
+// targetOf returns the target of a packet's flow, or nil if it is unknown, and the reason to
+// forward the packet.
 //
 // If a retransmitted opening was answered by two targets, the caller returns the cookie of
 // the later answer although it accepted the earlier one. Following that cookie would send
@@ -250,8 +251,8 @@
 // Cookie returns the target's cookie.
 func (t *Target) Cookie() Cookie { return t.ID.Cookie() }
 
-// resetOf returns a reset as the answer to a packet; a packet that is itself a reset is
-// dropped.
+// resetOf returns the decision to answer a packet with a reset. A packet that is itself a
+// reset is dropped instead.
 func resetOf(s *Segment, reason Reason) Decision {
 	if s.Flags.Has(RST) {
 		return Decision{Verb: Drop, Reason: DroppedReset}
--- a/internal/direct/inspect.go
+++ b/internal/direct/inspect.go
@@ -19,7 +19,7 @@
 	PeerFlows  int           `json:"peer_flows"`
 	Load       float64       `json:"load"`     // requests per slot
 	Silence    time.Duration `json:"silence"`  // since its last sign of life here
-	Repeats    int           `json:"repeats"`  // callers' retransmissions since then
+	Repeats    int           `json:"repeats"`  // callers' retransmissions and unanswered openings since then
 	Finding    string        `json:"finding"`  // of the latest check
 	Eligible   bool          `json:"eligible"` // for new flows
 	Good       float64       `json:"good"`     // recent requests, see Outcome
@@ -82,7 +82,7 @@
 	Route   string       `json:"route"`
 	Version int64        `json:"version"` // of the catalogue
 	Known   bool         `json:"known"`   // the flow is in the table
-	Target  string       `json:"target"`  // identifier of the target that holds the flow
+	Target  string       `json:"target"`  // identifier of the flow's target
 	State   string       `json:"state"`   // of that target
 	Outcome string       `json:"outcome"` // decision on the next packet, or on an opening
 	Choices []TargetInfo `json:"choices"` // all targets of the route's services
--- a/internal/direct/massexpiry.go
+++ b/internal/direct/massexpiry.go
@@ -17,8 +17,8 @@
 // as are registered, which points to an outage of the store rather than of the targets. The
 // expired targets are then used along with the registered ones.
 //
-// Registrations run out while the store is away. When it comes back, the first targets to
-// register again would be the only ones in the list and receive the openings of all
+// Registrations run out while the store is unavailable. When it comes back, the first targets
+// to register again would be the only ones in the list and receive the openings of all
 // balancers: in one case two of 40 targets got all for 0.4 s. Counting the expired ones until
 // they have had time to register reduced failed requests from 154 to 1 of some 15,500, and
 // late ones from 84 to 17, in the two seconds after the store's return in four runs.
--- a/internal/direct/mechanism.go
+++ b/internal/direct/mechanism.go
@@ -45,7 +45,7 @@
 	OutlierDetection: {"grades", "track how requests end, and avoid targets that fail more than others"},
 	LapsedTargets:    {"lapsed-targets", "use targets whose registration has just expired if no other is left"},
 	OwnLink:          {"own-link", "check another target to tell unreachable targets from a congested link"},
-	Alarms:           {"alarms", "tell peers of suspicions at once rather than with the next heartbeat"},
+	Alarms:           {"alarms", "report suspicions to peers at once rather than with the next heartbeat"},
 	Yield:            {"yield", "send callers to other data centres when most balancers here are lost"},
 	StartSources:     {"start-sources", "take the first copy from a few balancers of the data centre rather than from the store"},
 }
--- a/internal/direct/observe.go
+++ b/internal/direct/observe.go
@@ -17,8 +17,8 @@
 		return
 	}
 	fl := &flow{key: s.Flow(), target: t, triedTargets: tried, firstSeen: now, lastSeen: now, requestedAt: now, maxEnd: s.Seq + 1}
-	// An opening precedes a request. The target counts as busy with it until its first packet
-	// arrives.
+	// A request follows the opening, so the target counts as busy with it until the caller's
+	// next packet, which may begin it.
 	fl.busy = true
 	t.busy++
 	f.pendingOpenings.push(fl, now)
@@ -76,7 +76,7 @@
 		}
 		fl.pending = false
 		f.endBusy(fl)
-		f.acknowledged(now, fl.target, s)
+		f.recordAck(now, fl.target, s)
 	}
 	end := s.Seq + uint32(s.Len)
 	switch {
@@ -95,13 +95,14 @@
 	}
 }
 
-// acknowledged takes an acknowledgement of the target's data as a sign of life, if the packet
+// recordAck takes an acknowledgement of the target's data as a sign of life, if the packet
 // carries no data.
 //
-// The end of an answer may be acknowledged only by the next request, seconds later. Taken as
-// a sign of life, that would send the request to a target that has left meanwhile, and the
-// caller would retransmit it after 200 ms. Only acknowledgements without data are prompt.
-func (f *Forwarder) acknowledged(now time.Duration, t *target, s *Segment) {
+// The end of an answer may be acknowledged only by the next request, seconds later. If that
+// counted as a sign of life, the request would be forwarded to a target that has left
+// meanwhile (see resetReason), and the caller would retransmit it after 200 ms. Only
+// acknowledgements without data are prompt.
+func (f *Forwarder) recordAck(now time.Duration, t *target, s *Segment) {
 	if s.Len == 0 {
 		f.markAlive(now, t)
 	}
--- a/internal/direct/outcome.go
+++ b/internal/direct/outcome.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Outcome counts recent requests by outcome. Both counts decay with outcomeTimeConstant.
+// Outcome holds the numbers of recent good and bad requests. Both counts decay with
+// outcomeTimeConstant.
 type Outcome struct {
 	Good float64 // answered in line with the route's baseline
 	Bad  float64 // not answered, or a short or slow answer
--- a/internal/direct/outlier.go
+++ b/internal/direct/outlier.go
@@ -19,8 +19,8 @@
 	// failingLoad is the additional load above which a target is reported as failing in logs
 	// and status. The state ends below half of it.
 	failingLoad = 2.0
-	// minReportedBad is the number of bad requests from which on peers are told: one that was
-	// not answered, or two that were slow.
+	// minReportedBad is the decayed number of bad requests from which on a target's outcomes
+	// are reported to peers: one that was not answered, or two that were slow.
 	minReportedBad = 0.9
 	// minTrackedBad is the number of bad requests below which a target is not tracked any
 	// further. One bad request decays to it within three time constants.
@@ -76,10 +76,10 @@
 	s.record.decay(now)
 	// Peers report only targets with failures, so their good requests are estimated: every
 	// target is assumed to get the same number.
-	all := (s.record.Good + s.record.Bad) * float64(max(f.outcomes.balancers, 1)) / float64(max(s.targetsInUse(), 1))
-	bad := t.record.Plus(t.peerOutcome).share(all) - s.record.share(0)
-	t.extraLoad = failingWeight * max(bad, 0)
-	f.noteOutlierChange(t, bad)
+	perTarget := (s.record.Good + s.record.Bad) * float64(max(f.outcomes.balancers, 1)) / float64(max(s.targetsInUse(), 1))
+	excess := t.record.Plus(t.peerOutcome).share(perTarget) - s.record.share(0)
+	t.extraLoad = failingWeight * max(excess, 0)
+	f.noteOutlierChange(t, excess)
 }
 
 // targetsInUse returns the number of targets that share the flows of this data centre.
@@ -103,14 +103,15 @@
 	Peers   Outcome // outcomes reported by peers
 }
 
-// noteOutlierChange records a change of the target's failing state, with hysteresis.
-func (f *Forwarder) noteOutlierChange(t *target, share float64) {
+// noteOutlierChange records a change of the target's failing state, with hysteresis. excess is
+// the share of bad requests above that of the service.
+func (f *Forwarder) noteOutlierChange(t *target, excess float64) {
 	failing := t.extraLoad > failingLoad || t.failing && t.extraLoad > failingLoad/2
 	if failing == t.failing || len(f.outcomes.changes) == maxOutlierChanges {
 		return
 	}
 	t.failing = failing
-	f.outcomes.changes = append(f.outcomes.changes, OutlierChange{t.ID, failing, share, t.record.Outcome, t.peerOutcome})
+	f.outcomes.changes = append(f.outcomes.changes, OutlierChange{t.ID, failing, excess, t.record.Outcome, t.peerOutcome})
 }
 
 // maxOutlierChanges is the maximum number of changes kept until the next call of
@@ -151,7 +152,7 @@
 	return out
 }
 
-// BadSeen reports whether a request has ended badly since the last call.
+// BadSeen reports whether a request has had a bad outcome since the last call.
 func (f *Forwarder) BadSeen() bool {
 	seen := f.outcomes.badSeen
 	f.outcomes.badSeen = false
--- a/internal/direct/overdue.go
+++ b/internal/direct/overdue.go
@@ -5,7 +5,7 @@
 const (
 	// minOpeningTimeout is how long a target may take to answer an opening, in addition to a
 	// multiple of the measured time. A target's handshake takes 0.3 ms. The CPU of a small VM
-	// may stall for 100 ms at worst, which costs no more than a check.
+	// may stall for 100 ms at worst, which causes no more than an unnecessary check.
 	minOpeningTimeout = 30 * time.Millisecond
 	// openingTimeFactor is the multiple of the measured time from an opening to the caller's
 	// next packet, which includes the distance to the caller.
--- a/internal/direct/place.go
+++ b/internal/direct/place.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// farMargin is how much lower the load of a target in another data centre has to be, in
-	// requests per slot. Crossing costs a round trip between data centres, and the flow
+	// farMargin is how much lower than here the load of a target in another data centre has to
+	// be, in requests per slot. Crossing costs a round trip between data centres, and the flow
 	// breaks when they are cut off from each other.
 	//
 	// With 1.0 instead of 0.25, the flows that cross at 0.7 of the slots' capacity drop from
 	// 43 to 6 of 100, and late requests at 0.9 from 8.9 to 3.4 of 100 (TestEvenLoad).
 	farMargin = 1.0
 	// nearFullLoad is the load per slot from which on other data centres are considered at
-	// all. Below it, a request in this data centre waits for half of another one.
+	// all. Below it, a request in this data centre waits for half of another one at most.
 	nearFullLoad = 1.5
 )
 
@@ -22,7 +22,7 @@
 type choice struct {
 	target *target
 	load   float64
-	ties   int
+	ties   int // targets that count as equally loaded
 }
 
 // offer adds a target to the comparison. Equally loaded targets are chosen at random, as
@@ -44,13 +44,13 @@
 // open flow adds that much.
 const tieWidth = 0.02
 
-// place chooses the target of a new flow among a service's targets, except those in avoid.
-// The flow stays in this data centre while that has room.
+// place chooses the target of a new flow among a service's targets, except those in avoid. The
+// flow stays in this data centre as long as that has room.
 //
-// If no target is eligible, because all are suspected or leave, callers are not refused at
+// If no target is eligible, because all are suspected or leaving, callers are not refused at
 // once: suspicions may be wrong, and a leaving target accepts openings for a while. The
-// fallbacks are any registered target, then one whose registration has just expired, then one
-// that has just announced that it leaves.
+// fallbacks are, in this order, any registered target, one whose registration has just
+// expired, and one that has just announced that it leaves.
 func (f *Forwarder) place(now time.Duration, s *service, avoid [2]TargetID) (choice, Reason) {
 	q := search{f: f, now: now, service: s, avoid: avoid}
 	for _, q.allowed = range f.fallbacks() {
--- a/internal/direct/reason.go
+++ b/internal/direct/reason.go
@@ -8,7 +8,7 @@
 	OpenedNear      Reason = iota // opening to a target in this data centre
 	OpenedFar                     // opening to another data centre, which has more room
 	OpenedEvacuated               // opening to another data centre, as this one is evacuated
-	OpenedElsewhere               // retransmitted opening to another target than before
+	OpenedElsewhere               // retransmitted opening, to another target if one can take it
 	Forwarded                     // by the packet's cookie
 	ForwardedKnown                // by the flow table, which names another target than the cookie
 	ResetNoRoute                  // the catalogue has no route with this address
@@ -20,7 +20,7 @@
 	ResetEvacuated                // only targets in evacuated data centres could take the opening
 	ResetCold                     // only cold targets at their limit could take the opening
 	DroppedMalformed
-	DroppedReset // a caller's reset; its flow has no target here
+	DroppedReset // a caller's reset that cannot be forwarded
 	DroppedWait  // the flow's target is unknown, but may become known
 	reasonCount
 )
--- a/internal/direct/restart.go
+++ b/internal/direct/restart.go
@@ -15,10 +15,10 @@
 // older start to reset at once.
 //
 // A target may crash and start again under its identifier. Callers with flows to the older
-// start would send their next request on a flow the target does not hold, which loses a
-// non-idempotent one; reset while no request is in flight, the caller opens a new flow first.
-// The state of the older start (dead, suspected, failing, leaving, load) is dropped, as it
-// would keep callers from the new one or send them to a service it has left.
+// start would send their next request on a flow that the new start does not know, which loses
+// a non-idempotent one. A caller whose flow is reset while no request is in flight opens a new
+// flow first. The state of the older start (dead, suspected, failing, leaving, load) is
+// dropped, as it would keep callers from the new one or send them to a service it has left.
 func (f *Forwarder) restart(now time.Duration, old *target, t Target) (*target, []Segment) {
 	delete(f.targets, old.ID)
 	f.releaseTarget(old)
--- a/internal/direct/spill.go
+++ b/internal/direct/spill.go
@@ -10,9 +10,9 @@
 	// show before openings spill there.
 	spillMargin = 1.6
 	// spillStep is the increase per tick of the share of another data centre whose latency
-	// ratio is known from recent answers, and spillProbeStep before that. Half a second
-	// suffices to fill the queues of a data centre, and crossing gains nothing if all are
-	// full.
+	// ratio is known from recent answers, and spillProbeStep before that. The share has to
+	// rise quickly, as queues fill within half a second, but more slowly while it is unknown
+	// whether the other data centre is full too, in which case crossing gains nothing.
 	spillStep      = 0.12
 	spillProbeStep = 0.05
 	// minSpillSamples is the number of recent answers from which on a latency ratio counts as
@@ -36,8 +36,8 @@
 // size, and if all data centres are equally slow nothing is gained by crossing.
 //
 // With 29 balancers per data centre and 2.6 times the normal number of callers in one,
-// spilling reduced late requests from 1,311 to 19 of 44,725 and refused ones from 714 to 2.
-// In bursts of 2.3 in all data centres, with peaks one after the other, it reduced late
+// spilling reduced late requests from 1,311 to 19 of 44,725 and refused ones from 714 to 2. In
+// 2.3-fold bursts in all data centres, with peaks one after the other, it reduced late
 // requests from 646 to 57 of 52,981 and refused ones from 108 to none. In simulated time,
 // 1.000 instead of 0.963 of the requests meet their goal with 60 balancers per data centre
 // (TestFullDataCentreSpills).
--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -84,7 +84,7 @@
 			delete(f.suspects, t)
 			continue
 		}
-		if !t.suspicious(now) {
+		if !t.dueForCheck(now) {
 			continue
 		}
 		t.checkRunning = true
@@ -97,7 +97,9 @@
 	return out
 }
 
-func (t *target) suspicious(now time.Duration) bool {
+// dueForCheck reports whether the target has to be checked and the pause since its previous
+// check is over.
+func (t *target) dueForCheck(now time.Duration) bool {
 	pause := checkPause
 	switch {
 	case t.dead && t.checkWanted:
@@ -130,7 +132,7 @@
 	Hung
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs and status.
 func (x Finding) String() string {
 	return [...]string{"alive", "gone", "silent", "restarted", "hung"}[x]
 }
@@ -141,7 +143,7 @@
 
 // CheckResult holds the consequences of a check.
 type CheckResult struct {
-	// Notify requests that peers be told of a new suspicion or a dead target.
+	// Notify requests that a new suspicion or a dead target be reported to peers.
 	Notify bool
 	// Resets are the flows to reset at once because their target is dead.
 	Resets []Segment
@@ -166,7 +168,7 @@
 		return CheckResult{}
 	}
 	f.addSuspect(t)
-	v := CheckResult{Notify: t.finding == Alive && !t.peerSuspected}
+	result := CheckResult{Notify: t.finding == Alive && !t.peerSuspected}
 	t.finding = x
 	t.failedChecks++
 	if x == Hung {
@@ -177,26 +179,26 @@
 	case x == Restarted:
 		// The next registration decides which flows are lost.
 	case x == Gone && f.hasEnded(now, t):
-		v.Resets = f.markDead(now, t)
+		result.Resets = f.markDead(now, t)
 	case !f.othersAlive(now, t) && !f.ownLinkWorks(now, t):
 		f.probeOwnLink(now, t)
 	case t.failedChecks >= confirmChecks && t.silenceConfirmed():
-		v.Resets = f.markDead(now, t)
+		result.Resets = f.markDead(now, t)
 	}
 	if t.dead {
 		t.deadCheckAt = t.checkedAt
 	}
-	v.Notify = v.Notify || len(v.Resets) > 0 && t.callersWaited
-	return v
+	result.Notify = result.Notify || len(result.Resets) > 0 && t.callersWaited
+	return result
 }
 
 // hasEnded reports whether a target that refuses connections has ended along with its flows.
 //
 // A target that announced its end closes its listening socket first and then answers the
 // requests it has; treating it as ended would reset flows 10 ms before their answer. If a
-// caller retransmits without an acknowledgement, the target has probably ended. But with a
-// full queue, callers retransmit before their turn comes, so the target must also have shown
-// no life for as long as the queue takes.
+// caller's retransmission stays unacknowledged, the target has probably ended. But with a full
+// queue, callers retransmit before their turn comes, so the target must also have shown no
+// life for as long as the queue takes.
 func (f *Forwarder) hasEnded(now time.Duration, t *target) bool {
 	return !t.Draining || t.silenceConfirmed() && now-t.lastAlive > f.CheckTimeout(t.Service)
 }
--- a/internal/direct/target.go
+++ b/internal/direct/target.go
@@ -50,10 +50,10 @@
 	Service    string
 	Addr       netip.AddrPort
 	DataCenter string
-	Slots      int // requests served concurrently
-	Draining   bool
-	// ColdLeft is how long the target still warms up, counted from when the registration was
-	// read. Until then it is slow.
+	Slots      int  // requests served concurrently
+	Draining   bool // the target has announced that it leaves
+	// ColdLeft is how much longer the target warms up, counted from when the registration was
+	// read. While warming up it is slow.
 	ColdLeft time.Duration
 }
 
--- a/internal/direct/targetstate.go
+++ b/internal/direct/targetstate.go
@@ -17,7 +17,7 @@
 	limitVersion  int               // Forwarder.fleetVersion of coldLimit
 	drainingSince time.Duration     // when its draining state was learnt
 	departed      bool              // its registration was removed
-	left          bool              // it had announced that it leaves
+	left          bool              // its registration was removed after it announced that it leaves
 	endedAt       time.Duration     // when it was marked dead or its registration was removed
 	cookieTaken   bool              // an older target has the same cookie
 	startRevision revision.Revision // at which its start was learnt, if an earlier one was known
@@ -37,8 +37,8 @@
 	overdue         bool          // a request has exceeded its timeout
 	avoidUntil      time.Duration // end of the suspicion, which keeps new flows away
 	peerSuspected   bool          // a peer suspected it first
-	peerCallersWait bool          // callers wait there in vain at a peer
-	callersWaited   bool          // callers waited here when it was marked dead
+	peerCallersWait bool          // callers of a peer wait for its answers
+	callersWaited   bool          // callers of this balancer waited for it when it was marked dead
 
 	checkWanted  bool // check it without further evidence
 	linkProbe    bool // the check is one of this balancer's own link
@@ -91,9 +91,9 @@
 // expired reports whether new flows may go to the target if no registered one is left: its
 // registration was removed recently, without an announcement that it leaves.
 //
-// Registrations run out while the store is away and are all gone when it is back. Until
-// living targets have registered again, for a second or two, callers would be told that there
-// is no target; in one outage this affected 33 openings.
+// Registrations run out while the store is unavailable and are all gone when it is back.
+// Without this, openings would be refused for a second or two, until living targets have
+// registered again; in one outage this affected 33 openings.
 func (t *target) expired(now time.Duration) bool {
 	return t.departed && !t.left && !t.dead && t.placeable() && !t.replaced() && now-t.endedAt < lateOpeningWindow
 }
--- a/internal/direct/timeout.go
+++ b/internal/direct/timeout.go
@@ -37,22 +37,22 @@
 // CheckTimeout returns the timeout of a check of a service's targets.
 //
 // In a burst, targets have ten requests of 60 ms queued, and a check waits behind them for
-// longer than a fixed 0.2 s. The target would be taken for dead, its open flows would be
+// longer than a fixed 0.2 s. A living target would be marked dead, its open flows would be
 // reset, and all callers would turn to the remaining targets.
 //
-// In a day with a burst of 1.8 during a loss of VMs and five unreachable targets, the
-// adaptive timeout reduced unanswered checks from 542 to 39 of some 5,000 to 6,000, and
-// suspicions reported to peers from 3,280 to 248. In simulated time, no living target was
-// found dead in three bursts instead of nine (TestFullTargetsAreNotTakenForDead).
+// In a run with a 1.8-fold burst, lost VMs and five unreachable targets, the adaptive timeout
+// reduced unanswered checks from 542 to 39 of some 5,000 to 6,000, and suspicions reported to
+// peers from 3,280 to 248. In simulated time, no living target was found dead in three bursts
+// instead of nine (TestFullTargetsAreNotTakenForDead).
 func (f *Forwarder) CheckTimeout(service string) time.Duration {
-	took := float64(initialAnswerTime)
+	longest := float64(initialAnswerTime)
 	known := false
 	for address, b := range f.outcomes.baselines {
-		if b.samples >= minSamples && f.leadsTo(address, service) && (!known || b.medianTime > took) {
-			took, known = b.medianTime, true
+		if b.samples >= minSamples && f.leadsTo(address, service) && (!known || b.medianTime > longest) {
+			longest, known = b.medianTime, true
 		}
 	}
-	return min(max(time.Duration(checkTimeoutFactor*took), minCheckTimeout), maxCheckTimeout)
+	return min(max(time.Duration(checkTimeoutFactor*longest), minCheckTimeout), maxCheckTimeout)
 }
 
 // leadsTo reports whether a route has a service among its backends.
--- a/internal/direct/unknown.go
+++ b/internal/direct/unknown.go
@@ -39,15 +39,16 @@
 	firstSeenRetention = time.Minute
 )
 
-// SetListCompleteAt sets when the list of targets was last known to be complete.
+// SetListCompleteAt sets when the replica, with the list of targets and the catalogue, was
+// last known to be complete.
 func (f *Forwarder) SetListCompleteAt(at time.Duration) { f.listCompleteAt = at }
 
 // routeRemoved reports whether the route of an open flow was certainly removed.
 //
-// The route may have been added only recently: a balancer that knows it has opened a flow,
-// and a packet comes to one that lacks the new version of the catalogue. A reset would end a
-// living flow. If a catalogue that came into force after the packet lacks the route, it was
-// removed; until then the flow is forwarded by its cookie.
+// The route may have been added only recently: a balancer that knows it has opened a flow, and
+// a packet comes to one that lacks the new version of the catalogue. A reset would end a
+// living flow. If a catalogue that is known to be current at a time after the packet lacks the
+// route, it was removed; until then the flow is forwarded by its cookie.
 func (f *Forwarder) routeRemoved(now time.Duration, s *Segment) bool {
 	first, ok := f.routelessFlows[s.Flow()]
 	if !ok && len(f.routelessFlows) < maxFirstSeen {
--- a/internal/direct/update.go
+++ b/internal/direct/update.go
@@ -14,7 +14,7 @@
 // for 35,000 flows and 0.1 ms for 3,000 targets.
 const sweepInterval = time.Second
 
-// SetCatalogue puts a version of the catalogue into force.
+// SetCatalogue replaces the catalogue in use by another version.
 func (f *Forwarder) SetCatalogue(c *Catalogue) {
 	f.catalogue = c
 	for name, s := range c.Services {
@@ -29,7 +29,8 @@
 }
 
 // HasService reports whether the catalogue contains a service. Targets of other services get
-// no flows until a version of the catalogue contains it.
+// no flows, as no route leads to them, until a version of the catalogue contains their
+// service.
 func (f *Forwarder) HasService(service string) bool {
 	if f.catalogue == nil {
 		return false
@@ -38,7 +39,8 @@
 	return ok
 }
 
-// HealthPath returns the URL path of the health checks of a service's targets.
+// HealthPath returns the URL path of the health checks of a service's targets, "/" before the
+// first catalogue has arrived.
 func (f *Forwarder) HealthPath(service string) string {
 	if f.catalogue == nil {
 		return "/"
@@ -195,7 +197,8 @@
 	}
 }
 
-// releaseTarget removes a target from its group and from everything in progress.
+// releaseTarget removes a target from its group, the suspects, the tracked failures and the
+// count of running checks.
 func (f *Forwarder) releaseTarget(x *target) {
 	f.leaveGroup(x)
 	delete(f.suspects, x)
