--- a/internal/slowstart/owners.go
+++ b/internal/slowstart/owners.go
@@ -16,23 +16,24 @@
 	// At 100 openings a second, 60 balancers use 0.79 of the rate with it and 0.63 without
 	// (TestColdTargetsAreNotOverrun).
 	ownersPerRate = 0.2
-	// maxOwners is the maximum number of owners, larger than any data centre.
+	// maxOwners is the maximum number of additional owners, larger than any data centre.
 	maxOwners = 10000
-	// usedShare is the share of a target's rate that is distributed. Balancers that have just
-	// joined are owners in their own view before the others know of them: if they are a
-	// fifth, all together open at 1.2 times the rate plus four. The requirement is 1.5 times
-	// the rate plus five.
+	// usedShare is the share of a target's rate that is distributed among its owners.
+	// Balancers that have just joined are owners in their own view before the others know of
+	// them: if they are a fifth, all together open at 1.2 times the rate plus four. The
+	// requirement is 1.5 times the rate plus five.
 	usedShare = 0.8
 )
 
-// Owners determines which targets a balancer owns. The zero value owns none, as it does not
+// Owners determines which targets this balancer owns. The zero value owns none, as it does not
 // know the other balancers.
 type Owners struct {
 	self  uint64
 	seeds []uint64 // of all balancers of the data centre, including this one
 }
 
-// NewOwners takes the name of this balancer and those of the others in its data centre.
+// NewOwners returns the Owners of the balancer self. others are the names of the other
+// balancers of its data centre.
 func NewOwners(self string, others []string) Owners {
 	o := Owners{self: rendezvous.Seed(self)}
 	o.seeds = append(o.seeds, o.self)
@@ -49,10 +50,10 @@
 
 // Limit returns this balancer's limit for a target that can take rate openings a second.
 func (o Owners) Limit(target uint64, rate float64) Limit {
-	first := rendezvous.Order(nil, target, o.seeds, ownerCount(rate))
-	for _, i := range first {
+	owners := rendezvous.Order(nil, target, o.seeds, ownerCount(rate))
+	for _, i := range owners {
 		if o.seeds[i] == o.self {
-			return Limit{rate: usedShare * rate / float64(len(first))}
+			return Limit{rate: usedShare * rate / float64(len(owners))}
 		}
 	}
 	return Limit{}
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -70,11 +70,11 @@
 // fleetRun lets n balancers open flows at cold targets for four seconds. Some balancers know
 // only a part of the others, because those have joined since or the replicas are outdated.
 type fleetRun struct {
-	n, targets int
+	n, targets int     // balancers and targets
 	rate       float64 // openings a second that a target can take
 	unknown    int     // balancers unknown to the others
 	idle       int     // balancers that open nothing
-	perSecond  float64 // openings per balancer
+	perSecond  float64 // openings a second that callers attempt at each balancer
 }
 
 // simulate returns the maximum number of openings of a target in a second, and the share of
@@ -144,9 +144,9 @@
 	const targets = 20
 	for _, n := range []int{3, 9, 29, 60, 200} {
 		for _, rate := range []float64{1, 8, 100} {
-			for _, c := range []struct{ late, lost int }{{0, 0}, {n / 5, 0}, {0, n / 3}} {
+			for _, c := range []struct{ unknown, lost int }{{0, 0}, {n / 5, 0}, {0, n / 3}} {
 				// Callers open twice as many flows as the targets can take.
-				r := fleetRun{n: n, targets: targets, rate: rate, unknown: c.late, idle: c.lost, perSecond: 2 * rate * targets / float64(n)}
+				r := fleetRun{n: n, targets: targets, rate: rate, unknown: c.unknown, idle: c.lost, perSecond: 2 * rate * targets / float64(n)}
 				allowed := int(1.5*rate) + 5
 				for _, w := range strategies {
 					most, part := 0, math.Inf(1)
@@ -155,7 +155,7 @@
 						most, part = max(most, m), min(part, u)
 					}
 					t.Logf("%3d balancers, %2d unknown, %3d lost, rate %3.0f: %-14s %3d of %3d in a second, %.2f of the rate used",
-						n, c.late, c.lost, rate, w.name, most, allowed, part)
+						n, c.unknown, c.lost, rate, w.name, most, allowed, part)
 					if w.name != strategies[0].name {
 						continue
 					}
