--- a/internal/direct/answer_test.go
+++ b/internal/direct/answer_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
+// The outcome of a request follows from the time and size of its answer, compared with the
+// baseline once that is known.
 func TestClassify(t *testing.T) {
 	known := &baseline{medianTime: float64(30 * time.Millisecond), medianSize: 2000, samples: minSamples}
 	fresh := &baseline{}
 	for _, c := range []struct {
 		name string
-		u    *baseline
+		base *baseline
 		took time.Duration
 		size uint32
 		want Answer
@@ -24,7 +26,7 @@
 		{"short, no baseline yet", fresh, 5 * time.Millisecond, 170, AnswerGood},
 		{"nothing, no baseline yet", fresh, 0, 0, AnswerNone},
 	} {
-		if got := c.u.classify(c.took, c.size); got != c.want {
+		if got := c.base.classify(c.took, c.size); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -33,21 +35,21 @@
 // If a third of a route's answers turn into errors at once, the baseline must remain that of
 // the good answers.
 func TestBaselineSurvivesErrors(t *testing.T) {
-	u := &baseline{}
+	base := &baseline{}
 	for i := range 300 {
 		if i > 100 && i%3 == 0 {
-			u.learn(5*time.Millisecond, 170)
+			base.learn(5*time.Millisecond, 170)
 			continue
 		}
-		u.learn(30*time.Millisecond, 2000)
+		base.learn(30*time.Millisecond, 2000)
 	}
-	if u.classify(30*time.Millisecond, 2000) != AnswerGood || u.classify(5*time.Millisecond, 170) != AnswerShort {
-		t.Errorf("baseline is %.0f bytes after %.0f ms", u.medianSize, u.medianTime/1e6)
+	if base.classify(30*time.Millisecond, 2000) != AnswerGood || base.classify(5*time.Millisecond, 170) != AnswerShort {
+		t.Errorf("baseline is %.0f bytes after %.0f ms", base.medianSize, base.medianTime/1e6)
 	}
 }
 
-// answeredRequest sends a request of two packets and, unless answer is 0, acknowledges its
-// answer of so many bytes.
+// answeredRequest sends a request of two packets on the streams route and lets a time pass.
+// Unless answer is 0, the caller then acknowledges an answer of that many bytes.
 func (b *fixture) answeredRequest(port uint16, id TargetID, seq, ack, answer uint32, took time.Duration) {
 	b.sendRequest(port, streams, id, seq, ack)
 	b.sendRequest(port, streams, id, seq+300, ack)
--- a/internal/direct/expiry_test.go
+++ b/internal/direct/expiry_test.go
@@ -31,12 +31,12 @@
 	b.want(b.sendRequest(1, streams, 1, 101, 1000), Forwarded)
 	b.now += time.Millisecond
 	if got := b.f.TargetsToCheck(b.now); len(got) != 1 {
-		t.Fatalf("%d targets to check, want the one whose flow came", len(got))
+		t.Fatalf("%d targets to check, want the one whose flow sent a packet", len(got))
 	}
 	b.want(b.sendRequest(1, streams, 1, 401, 1000), Forwarded)
-	v := b.f.Checked(b.now, Start{ID: 1}, Gone)
-	if len(v.Resets) != 1 {
-		t.Errorf("%d flows reset, want the one that waits", len(v.Resets))
+	result := b.f.Checked(b.now, Start{ID: 1}, Gone)
+	if len(result.Resets) != 1 {
+		t.Errorf("%d flows reset, want the one that waits for an answer", len(result.Resets))
 	}
 }
 
--- a/internal/direct/failing_test.go
+++ b/internal/direct/failing_test.go
@@ -10,7 +10,7 @@
 
 const (
 	failsWithError failureMode = iota // answers at once with a short error
-	hangs                             // sends no answer; the caller gives up at its deadline
+	hangs                             // sends no answer; the caller ends the flow at its deadline
 	breaks                            // ends the flow without an answer
 )
 
@@ -22,10 +22,10 @@
 	for _, c := range []struct {
 		name    string
 		failure failureMode
-		most    int // of about 3,300 requests
+		most    int // maximum number of failed requests, of about 3,300
 	}{{"errors", failsWithError, 170}, {"hangs", hangs, 80}, {"breaks", breaks, 90}} {
 		r := runWithFailing(func(x *simTarget) { x.failure, x.failureShare = c.failure, 0.4 })
-		t.Logf("%s: %d bad; %v", c.name, r.failedRequests(), r)
+		t.Logf("%s: %d failed; %v", c.name, r.failedRequests(), r)
 		if bad := r.failedRequests(); bad > c.most {
 			t.Errorf("%s: %d of %d requests met a failure, want %d at most", c.name, bad, r.requests, c.most)
 		}
@@ -72,7 +72,7 @@
 // calls fail on four of them.
 func runWithFailing(fail func(*simTarget)) *replay {
 	r := newReplay(6, []int{3, 2, 2}, []int{5, 5, 4})
-	r.perFlow = 4 // as in the Kavango deployment
+	r.perFlow = 4 // requests on a long flow, as in the Kavango deployment
 	for i, n := range []float64{5, 5, 4} {
 		r.load(i, capacity(14)*0.4*n/14, 10*time.Second)
 	}
--- a/internal/direct/forwarder_test.go
+++ b/internal/direct/forwarder_test.go
@@ -33,7 +33,8 @@
 }
 
 // A caller retransmits its opening, two targets answer, and the caller returns the cookie of
-// the later answer. Its packets must keep going to the target whose answer it accepted first.
+// the later answer. Its packets must keep going to the target whose answer came first, as that
+// is the one the caller accepted.
 func TestSecondAnswerDoesNotMoveAFlow(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
 	first := b.handle(packet(1, streams, SYN, 0)).Target.ID
@@ -78,7 +79,7 @@
 	b.now += 3 * time.Second
 	b.f.Tick(b.now)
 	if b.f.Flows() != 0 {
-		t.Errorf("%d openings are kept after all callers gave up", b.f.Flows())
+		t.Errorf("%d openings are kept after openingRetention", b.f.Flows())
 	}
 }
 
@@ -106,7 +107,7 @@
 	b.f.Tick(b.now)
 	for id, x := range b.f.targets {
 		if x.flows != 0 || x.busy != 0 {
-			t.Errorf("target %d still holds %d flows and %d requests", id, x.flows, x.busy)
+			t.Errorf("target %d still counts %d flows and %d requests", id, x.flows, x.busy)
 		}
 	}
 }
--- a/internal/direct/full_test.go
+++ b/internal/direct/full_test.go
@@ -7,13 +7,13 @@
 
 // runFullBurst simulates a burst in which requests of 60 and 78 ms fill the queues of most
 // targets, seen by 29 balancers in each of three data centres. During the burst, some targets
-// become unreachable and others slow. checkLimit is a fixed check timeout, or 0 for the
-// balancers' own.
-func runFullBurst(seed uint64, checkLimit time.Duration) *burstRun {
+// become unreachable and others slow. checkTimeout replaces the balancers' adaptive timeout of
+// checks unless it is 0.
+func runFullBurst(seed uint64, checkTimeout time.Duration) *burstRun {
 	const centres, balancers, targets = 3, 29, 40
 	d := &burstRun{replay: newReplay(seed, []int{balancers, balancers, balancers}, []int{targets, targets, targets})}
 	r := d.replay
-	r.workFactor, r.goal, r.checkLimit = 2, 500*time.Millisecond, checkLimit
+	r.workFactor, r.goal, r.checkTimeout = 2, 500*time.Millisecond, checkTimeout
 	r.every(20*time.Millisecond, d.recordDead)
 	normal := capacity(targets) / r.workFactor * 0.5
 	for c := range centres {
@@ -37,9 +37,9 @@
 // with waiting callers detect the unreachable ones.
 type burstRun struct {
 	*replay
-	falselyDead   map[TargetID]bool // marked dead while alive
-	unreachableAt time.Duration
-	foundAt       map[TargetID]time.Duration
+	falselyDead   map[TargetID]bool          // marked dead while alive
+	unreachableAt time.Duration              // when targets became unreachable
+	foundAt       map[TargetID]time.Duration // when an unreachable target was first marked dead
 }
 
 func (d *burstRun) recordDead() {
@@ -74,20 +74,21 @@
 
 // A burst fills the queues of most targets, so that checks wait for longer than 0.2 s. With
 // that as a fixed timeout, living targets would be marked dead and their open flows reset.
-// With the adaptive timeout, no living target may be marked dead.
+// With the adaptive timeout, no living target may be marked dead, and the unreachable targets
+// must still be found.
 func TestFullTargetsAreNotTakenForDead(t *testing.T) {
-	short := 0
+	deadWithFixed := 0 // living targets marked dead with the fixed timeout
 	for seed := range uint64(3) {
-		before, now := runFullBurst(seed, 200*time.Millisecond), runFullBurst(seed, 0)
-		short += len(before.falselyDead)
-		t.Logf("timeout 0.2 s: %d living targets found dead, %v; adaptive: %d, %v", len(before.falselyDead), before.replay, len(now.falselyDead), now.replay)
-		if n := len(now.falselyDead); n > 0 {
+		fixed, adaptive := runFullBurst(seed, 200*time.Millisecond), runFullBurst(seed, 0)
+		deadWithFixed += len(fixed.falselyDead)
+		t.Logf("timeout 0.2 s: %d living targets found dead, %v; adaptive: %d, %v", len(fixed.falselyDead), fixed.replay, len(adaptive.falselyDead), adaptive.replay)
+		if n := len(adaptive.falselyDead); n > 0 {
 			t.Errorf("seed %d: %d living targets were found dead", seed, n)
 		}
-		t.Logf("unreachable targets found after %v on average, with the timeout of 0.2 s after %v", now.meanDetection(t), before.meanDetection(t))
+		t.Logf("unreachable targets found after %v on average, with the timeout of 0.2 s after %v", adaptive.meanDetection(t), fixed.meanDetection(t))
 	}
-	if short == 0 {
-		t.Error("the load does not show the failure: no living target is found dead with the fixed timeout")
+	if deadWithFixed == 0 {
+		t.Error("the load is too low for this test: no living target is found dead with the fixed timeout")
 	}
 }
 
@@ -117,7 +118,7 @@
 	b.now += 250 * time.Millisecond
 	b.sendRequest(1, streams, id, 101, 1000)
 	if n := check(); n != 0 {
-		t.Errorf("%d flows are reset while the target answers its queue", n)
+		t.Errorf("%d flows are reset while the target still serves its queue", n)
 	}
 	b.now += b.f.CheckTimeout("s")
 	b.sendRequest(1, streams, id, 101, 1000)
--- a/internal/direct/harness_test.go
+++ b/internal/direct/harness_test.go
@@ -43,6 +43,7 @@
 	return b
 }
 
+// target1 returns the registration of a target of service s with two slots.
 func target1(id TargetID, centre string) Target {
 	return Target{ID: id, Service: "s", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80), DataCenter: centre, Slots: 2}
 }
--- a/internal/direct/load_test.go
+++ b/internal/direct/load_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// capacity returns the requests a second that the slots of n targets can serve. The mix takes
-// 32 ms on average.
+// capacity returns the requests a second that the slots of n targets can serve. A request of
+// the mix that replay.load generates takes 32 ms on average.
 func capacity(n int) float64 { return float64(n*simSlots) / 0.032 }
 
 // Callers of three data centres load 14 targets evenly, with 0.5 to 0.9 of the slots'
@@ -29,16 +29,16 @@
 // into their queues. As many requests as the slots can serve have to be served, which leaves
 // no target idle.
 func TestOverload(t *testing.T) {
-	const load, possible = 1.2, 1 / 1.2
+	const load, servable = 1.2, 1 / 1.2
 	r := evenLoad(load)
 	t.Logf("load %.1f: %v", load, r)
-	if got := r.share(r.inGoal + r.late); got < possible {
-		t.Errorf("%.3f served, want %.3f", got, possible)
+	if got := r.share(r.inGoal + r.late); got < servable {
+		t.Errorf("%.3f served, want %.3f", got, servable)
 	}
 }
 
 // One of 14 targets becomes ten times slower while its health check stays good. Requests on
-// flows already open there are lost to it, but new flows have to go elsewhere.
+// flows already open there cannot avoid it, but new flows have to go elsewhere.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	r := newReplay(5, []int{3, 2, 2}, []int{5, 5, 4})
 	for i, n := range []float64{5, 5, 4} {
@@ -47,15 +47,16 @@
 	r.run(2 * time.Second)
 	r.targets[0].slow = 10
 	r.run(4 * time.Second)
-	before := r.targets[0].opened
-	all := r.opened
+	slowBefore := r.targets[0].opened
+	allBefore := r.opened
 	r.run(10 * time.Second)
 	t.Log(r)
-	if got := r.targets[0].opened - before; got > (r.opened-all)/100 {
-		t.Errorf("%d of %d new flows went to the slow target", got, r.opened-all)
+	if got := r.targets[0].opened - slowBefore; got > (r.opened-allBefore)/100 {
+		t.Errorf("%d of %d new flows went to the slow target", got, r.opened-allBefore)
 	}
 }
 
+// evenLoad loads all data centres for ten seconds with a share of their slots' capacity.
 func evenLoad(share float64) *replay {
 	r := newReplay(1, []int{3, 2, 2}, []int{5, 5, 4})
 	for i, n := range []float64{5, 5, 4} {
--- a/internal/direct/mechanism_test.go
+++ b/internal/direct/mechanism_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, m := range Mechanisms() {
 		if m.String() == "" || m.Describe() == "" {
-			t.Errorf("mechanism %d has no name or text", m)
+			t.Errorf("mechanism %d has no name or description", m)
 		}
 	}
 }
--- a/internal/direct/model_test.go
+++ b/internal/direct/model_test.go
@@ -24,9 +24,9 @@
 	targets   []*modelTarget
 	flows     []*modelFlow
 	nextPort  uint16
-	era       int64 // of the store
-	revision  int64 // of the store
-	saved     modelBackup
+	era       int64       // of the store
+	revision  int64       // of the store
+	saved     modelBackup // latest backup of the store
 	restored  modelBackup // content of the store when it came back
 	// trustsPeerFindings is a defect for the model to detect: balancers treat any finding of
 	// a peer as their own.
@@ -42,11 +42,11 @@
 
 type modelTarget struct {
 	Target
-	ended bool
+	ended bool // shut down for good
 	down  bool // crashed and not restarted yet
 	start int  // number of the current start; each flow belongs to one
-	// closed means that it accepts no more connections, as it is about to end, and still
-	// answers its flows. callerWaits means that a caller has retransmitted since.
+	// closed means that it accepts no more connections, as it is about to end, but still
+	// answers on its open flows. callerWaits means that a caller has retransmitted since.
 	closed, callerWaits bool
 }
 
@@ -56,7 +56,7 @@
 	start  int          // start of the target that accepted it
 	seq    uint32
 	ack    uint32
-	over   bool
+	over   bool // ended for the caller, by a reset
 	// dropped means that its route was removed at some time since it opened.
 	dropped bool
 }
@@ -172,13 +172,14 @@
 	}
 }
 
+// finishCheck gives a balancer the result of its check of a target.
 func (m *model) finishCheck(i int, x *modelTarget, reachable bool) {
 	finding := Alive
 	switch {
 	case x.ended, x.closed, x.down:
 		finding = Gone
 	case !reachable:
-		return // a network cut; covered by suspect_test.go
+		return // the check ends without a result; suspect_test.go covers network cuts
 	}
 	m.applyResets(m.balancers[i].Checked(m.now, x.Start(), finding).Resets, ResetSilent)
 }
@@ -195,6 +196,7 @@
 	}
 }
 
+// step applies one random event.
 func (m *model) step(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.balancers)-1).Draw(t, "balancer")
 	j := rapid.IntRange(0, len(m.balancers)-1).Draw(t, "other balancer")
@@ -266,6 +268,7 @@
 	return true
 }
 
+// pick returns a random open flow, or nil if there is none.
 func (m *model) pick(t *rapid.T) *modelFlow {
 	var open []*modelFlow
 	for _, fl := range m.flows {
--- a/internal/direct/modelrestart_test.go
+++ b/internal/direct/modelrestart_test.go
@@ -61,8 +61,8 @@
 }
 
 // updateRestored brings a balancer up to the content of the restored store before any target
-// has written again. Entries less recent than what the balancer knows are held back; see
-// replica.Settling.
+// has written again. Registrations less recent than what the balancer knows are not applied;
+// see replica.Settling.
 func (m *model) updateRestored(i int) {
 	f := m.balancers[i]
 	for _, t := range m.restored {
--- a/internal/direct/modelruns_test.go
+++ b/internal/direct/modelruns_test.go
@@ -6,6 +6,7 @@
 	"pgregory.net/rapid"
 )
 
+// run applies random events to a model and checks the invariants after each.
 func run(m *model, t *rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		m.step(t)
--- a/internal/direct/outcome_test.go
+++ b/internal/direct/outcome_test.go
@@ -13,7 +13,7 @@
 }
 
 // One target fails four of ten requests, another none. New flows go to the other one until it
-// is loaded. The change is reported once, and ends after the failures have ended.
+// is loaded. The change is reported once, and once more when the target has recovered.
 func TestFailingTargetLooksLoaded(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
 	b.recordAnswers(1, AnswerGood, 12)
@@ -47,7 +47,7 @@
 	b.recordAnswers(2, AnswerNone, 20)
 	b.f.Tick(b.now)
 	if out := b.f.Outcomes(b.now); len(out) != 0 {
-		t.Errorf("reports %v", out)
+		t.Errorf("outcomes reported to peers: %v, want none", out)
 	}
 	if x, y := b.state(1).extraLoad, b.state(2).extraLoad; x > 0.5 || y > 0.5 {
 		t.Errorf("targets look loaded by %.2f and %.2f", x, y)
@@ -78,12 +78,12 @@
 		b.f.SetPeerOutcomes(nil, c.spread)
 		b.f.Tick(b.now)
 		if x := b.state(1).extraLoad; x > 0.1 {
-			t.Errorf("%s: still looks loaded by %.2f after the peers have forgotten", c.name, x)
+			t.Errorf("%s: still looks loaded by %.2f after the peers stopped reporting it", c.name, x)
 		}
 	}
 }
 
-// A failing target that is forgotten leaves no state behind.
+// A failing target that is removed for good is no longer tracked.
 func TestForgottenTargetIsNotTracked(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "a"))
 	b.recordAnswers(1, AnswerNone, 5)
@@ -101,12 +101,12 @@
 func TestOutcomesDecay(t *testing.T) {
 	o := Outcome{Good: 10, Bad: 5}.Decayed(outcomeTimeConstant)
 	if o.Good < 3.6 || o.Good > 3.7 || o.Bad < 1.8 || o.Bad > 1.9 {
-		t.Errorf("%+v after one memory", o)
+		t.Errorf("%+v after one time constant", o)
 	}
 	var r record
 	r.add(time.Second, AnswerSlow)
 	r.decay(time.Second + outcomeTimeConstant)
 	if r.Bad < 0.18 || r.Bad > 0.19 {
-		t.Errorf("%+v after one memory", r)
+		t.Errorf("%+v after one time constant", r)
 	}
 }
--- a/internal/direct/ownlink_test.go
+++ b/internal/direct/ownlink_test.go
@@ -19,7 +19,7 @@
 			b.sendRequest(p, streams, id, 101, 1000)
 		}
 		for _, x := range b.f.TargetsToCheck(b.now) {
-			if v := b.f.Checked(b.now+150*time.Millisecond, x.Start(), Silent); len(v.Resets) > 0 {
+			if result := b.f.Checked(b.now+150*time.Millisecond, x.Start(), Silent); len(result.Resets) > 0 {
 				t.Fatalf("flows of target %d are reset", x.ID)
 			}
 		}
@@ -28,9 +28,9 @@
 }
 
 // Most targets of the data centre lose power at once. An answered check of a living target
-// rules out this balancer's own link, and the waiting callers are reset after the next failed
-// check rather than when the registrations expire. With a congested link, that check fails as
-// well, and no flow is reset.
+// rules out this balancer's own link as the cause, and the waiting callers are reset after the
+// next failed check rather than when the registrations expire. With a congested link, that
+// check fails as well, and no flow is reset.
 func TestManyDarkTargetsOrAChokedLink(t *testing.T) {
 	for _, congested := range []bool{false, true} {
 		b := newFixture(t, manyTargets(5)...)
@@ -97,10 +97,10 @@
 		r.targets[i].unreachable = true
 	}
 	r.run(3200 * time.Millisecond)
-	before := r.late
+	lateBefore := r.late
 	r.run(8 * time.Second)
 	t.Log(r)
-	if got := r.late - before; got > r.requests/25 {
+	if got := r.late - lateBefore; got > r.requests/25 {
 		t.Errorf("%d requests late more than 1.2 s after the loss", got)
 	}
 	if r.failed > 5 {
--- a/internal/direct/place_test.go
+++ b/internal/direct/place_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// All targets of a service leave. They may get openings for a moment; then callers are
-// refused at once.
+// All targets of a service are leaving. They may get openings for lateOpeningWindow; then
+// callers are refused at once.
 func TestAllTargetsLeave(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	leaving := target1(1, "a")
@@ -72,7 +72,7 @@
 		}
 	}
 	if got < openings*8/100 || got > openings*12/100 {
-		t.Errorf("%d of %d openings went to the service with a tenth", got, openings)
+		t.Errorf("%d of %d openings went to the service with a tenth of the weight", got, openings)
 	}
 }
 
--- a/internal/direct/replay_test.go
+++ b/internal/direct/replay_test.go
@@ -20,25 +20,27 @@
 	byID      map[TargetID]*simTarget
 	centres   int
 	nextPort  uint32
-	retries   int // retries of a caller
+	retries   int // maximum number of retries of a request
 	perFlow   int // mean number of requests on a long flow; 0 for no limit
 	// nonIdempotent makes callers use the route with non-idempotent requests, which they do
 	// not retry once their flow is open.
 	nonIdempotent bool
 	// workFactor multiplies the work of all requests.
 	workFactor float64
-	// checkLimit, if not 0, replaces the balancers' timeout of checks.
-	checkLimit time.Duration
+	// checkTimeout, if not 0, replaces the balancers' timeout of checks.
+	checkTimeout time.Duration
 
-	goal     time.Duration
+	goal     time.Duration // response time within which an answer counts as in goal
 	requests int
-	inGoal   int
-	late     int
+	inGoal   int // requests answered within goal
+	late     int // requests answered later
 	refused  int // requests refused by a full target
-	failed   int
+	failed   int // requests that failed in all tries
 	far      int // openings to another data centre
-	opened   int
-	sum      struct{ busiest, mean float64 }
+	opened   int // openings, without retransmissions
+	// sum adds up, over all ticks, the requests at the busiest target and the mean of all
+	// targets.
+	sum struct{ busiest, mean float64 }
 }
 
 // Delays and sizes of the simulation.
@@ -46,8 +48,8 @@
 	simNear   = 300 * time.Microsecond // one way between a balancer and a target nearby
 	simFar    = 900 * time.Microsecond // to one in another data centre
 	simCaller = 3 * time.Millisecond   // one way between a caller and a data centre
-	simSlots  = 2
-	simQueue  = 8
+	simSlots  = 2                      // requests that a target serves concurrently
+	simQueue  = 8                      // requests that a target queues beyond these
 	// simSmallFleet is the number of balancers up to which they report their loads to one
 	// another.
 	simSmallFleet = 16
@@ -78,9 +80,9 @@
 type simRequest struct {
 	flow      *simFlow
 	startedAt time.Duration // of the caller's first try
-	work      time.Duration
-	tries     int
-	check     func() // set for a health check instead of a request
+	work      time.Duration // time it takes in a slot
+	tries     int           // retries so far
+	check     func()        // set for a health check instead of a request
 }
 
 type simFlow struct {
@@ -88,10 +90,10 @@
 	b       *balancer
 	t       *simTarget
 	long    bool
-	copies  uint32
-	open    bool
-	dead    bool
-	waiting *simRequest
+	copies  uint32      // retransmissions of the opening
+	open    bool        // the caller has accepted an answer to its opening
+	dead    bool        // ended at the caller
+	waiting *simRequest // request without an answer yet
 }
 
 type event struct {
@@ -158,10 +160,12 @@
 	return r
 }
 
+// after schedules do at a time from now.
 func (r *replay) after(d time.Duration, do func()) {
 	heap.Push(&r.events, event{r.now + d, len(r.events) + int(r.now), do})
 }
 
+// every schedules do repeatedly, at equal intervals.
 func (r *replay) every(d time.Duration, do func()) {
 	r.after(d, func() {
 		do()
@@ -169,6 +173,7 @@
 	})
 }
 
+// run processes the events up to a time.
 func (r *replay) run(until time.Duration) {
 	for len(r.events) > 0 && r.events[0].at <= until {
 		e := heap.Pop(&r.events).(event)
@@ -200,7 +205,7 @@
 		b.f.Tick(r.now)
 		r.startChecks(b)
 	}
-	r.imbalance()
+	r.recordImbalance()
 }
 
 // others returns the sum of the reports of all balancers but the i-th.
@@ -217,6 +222,7 @@
 	return sum
 }
 
+// inCentre returns the number of balancers in a data centre.
 func (r *replay) inCentre(centre int) int {
 	n := 0
 	for _, b := range r.balancers {
@@ -227,7 +233,8 @@
 	return n
 }
 
-func (r *replay) imbalance() {
+// recordImbalance adds the present loads to sum.
+func (r *replay) recordImbalance() {
 	most, total := 0, 0
 	for _, t := range r.targets {
 		n := t.running + len(t.queue)
@@ -238,9 +245,11 @@
 	r.sum.mean += float64(total) / float64(len(r.targets))
 }
 
-// openFlows maps flows by key, to deliver resets that balancers send on their own.
+// openFlows holds the callers' flows by key, to deliver resets that balancers send without a
+// packet of the flow.
 var openFlows = map[FlowKey]*simFlow{}
 
+// reset delivers such a reset to the caller.
 func (r *replay) reset(k FlowKey) {
 	if fl := openFlows[k]; fl != nil {
 		r.after(simCaller, func() { r.breakFlow(fl) })
--- a/internal/direct/replaycheck_test.go
+++ b/internal/direct/replaycheck_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startChecks starts the checks that a balancer wants.
+// startChecks starts the checks that a balancer has due.
 func (r *replay) startChecks(b *balancer) {
 	for _, t := range b.f.TargetsToCheck(r.now) {
 		s := r.byID[t.ID]
@@ -20,34 +20,36 @@
 	}
 }
 
-// checkLiving queues a check for a slot like a request. A full target refuses it late.
+// checkLiving queues a check for a slot like a request. A full target refuses it after
+// simCheckRefusal, which counts as an answer.
 func (r *replay) checkLiving(b *balancer, s *simTarget) {
-	limit := r.checkLimit
-	if limit == 0 {
-		limit = b.f.CheckTimeout(s.Service)
+	timeout := r.checkTimeout
+	if timeout == 0 {
+		timeout = b.f.CheckTimeout(s.Service)
 	}
-	found := false
+	finished := false
 	end := func(x Finding) func() {
 		return func() {
-			if !found {
-				found = true
+			if !finished {
+				finished = true
 				r.finishCheck(b, s, x)
 			}
 		}
 	}
-	r.after(limit, end(Hung))
+	r.after(timeout, end(Hung))
 	q := &simRequest{work: time.Millisecond, check: end(Alive)}
 	if !r.admit(s, q) {
 		r.after(simCheckRefusal, q.check)
 	}
 }
 
+// finishCheck gives a balancer the result of a check and applies the consequences.
 func (r *replay) finishCheck(b *balancer, s *simTarget, x Finding) {
-	v := b.f.Checked(r.now, Start{ID: s.ID}, x)
-	if v.Notify {
+	result := b.f.Checked(r.now, Start{ID: s.ID}, x)
+	if result.Notify {
 		r.notifyPeers(b, s.ID, slices.Contains(b.f.FoundDead(), s.ID))
 	}
-	for _, seg := range v.Resets {
+	for _, seg := range result.Resets {
 		r.reset(seg.Flow())
 	}
 }
--- a/internal/direct/replayflow_test.go
+++ b/internal/direct/replayflow_test.go
@@ -12,6 +12,8 @@
 	return r.open(centre, long, q)
 }
 
+// open opens a flow for a request. The caller sends its opening three times in all, and ends
+// the flow after 1.4 s without an answer.
 func (r *replay) open(centre int, long bool, q *simRequest) *simFlow {
 	var near []*balancer
 	for _, b := range r.balancers {
@@ -46,6 +48,7 @@
 	return fl
 }
 
+// syn sends a copy of the opening.
 func (r *replay) syn(fl *simFlow) {
 	r.after(simCaller, func() {
 		seg := fl.seg
@@ -73,11 +76,11 @@
 		return
 	}
 	t := r.byID[d.Target.ID]
-	took := simNear
+	delay := simNear
 	if t.centre != fl.b.centre {
-		took = simFar
+		delay = simFar
 	}
-	r.after(took, func() {
+	r.after(delay, func() {
 		switch {
 		case t.unreachable:
 		case t.crashed:
@@ -105,7 +108,8 @@
 	r.sendRequest(fl, fl.waiting)
 }
 
-// sendRequest sends a request on an open flow.
+// sendRequest sends a request on an open flow. The caller ends a flow with a non-idempotent
+// request after simDeadline.
 func (r *replay) sendRequest(fl *simFlow, q *simRequest) {
 	fl.waiting = q
 	q.flow = fl
@@ -120,7 +124,8 @@
 	})
 }
 
-// retransmit sends the request's packet again while it is not acknowledged.
+// retransmit sends the request's packet again while its target cannot acknowledge it, at
+// intervals that double.
 func (r *replay) retransmit(fl *simFlow, q *simRequest, d time.Duration) {
 	r.after(d, func() {
 		if fl.dead || fl.waiting != q || !fl.t.unreachable && !fl.t.crashed {
@@ -131,6 +136,7 @@
 	})
 }
 
+// arrive handles a request at its target, which resets the flow if its queue is full.
 func (r *replay) arrive(t *simTarget, q *simRequest) {
 	if !r.admit(t, q) {
 		r.refused++
@@ -151,6 +157,7 @@
 	return true
 }
 
+// start serves a request or check in a free slot, and the next one in the queue afterwards.
 func (r *replay) start(t *simTarget, q *simRequest) {
 	if q.check == nil && t.failureShare > 0 && r.rng.Float64() < t.failureShare {
 		r.fail(t, q)
@@ -180,8 +187,8 @@
 
 // Timing of requests that fail.
 const (
-	simError    = 5 * time.Millisecond // until a target answers with an error
-	simDeadline = 2500 * time.Millisecond
+	simError    = 5 * time.Millisecond    // until a target answers with an error
+	simDeadline = 2500 * time.Millisecond // from a request until its caller ends the flow
 )
 
 // fail makes a failing target handle a request according to its failure mode.
--- a/internal/direct/replayload_test.go
+++ b/internal/direct/replayload_test.go
@@ -13,16 +13,16 @@
 	for range long {
 		r.longFlowCaller(centre, until)
 	}
-	fresh := perSecond * 0.23
+	short := perSecond * 0.23 // requests a second on flows of their own
 	var next func()
 	next = func() {
 		if r.now > until {
 			return
 		}
 		r.request(centre, false, r.work(39))
-		r.after(r.exp(1/fresh), next)
+		r.after(r.exp(1/short), next)
 	}
-	r.after(r.exp(1/fresh), next)
+	r.after(r.exp(1/short), next)
 }
 
 // longFlowCaller simulates a caller that keeps one flow open and sends about one request a
@@ -57,11 +57,13 @@
 	r.after(simCaller, func() { fl.b.f.Handle(r.now, &last) })
 }
 
+// work returns a random work time. mean is in milliseconds, before workFactor.
 func (r *replay) work(mean float64) time.Duration {
 	x := r.workFactor * mean * (0.5 + r.rng.ExpFloat64()*0.5)
 	return time.Duration(min(x, 6*r.workFactor*mean) * float64(time.Millisecond))
 }
 
+// exp returns an exponentially distributed time with a mean of so many seconds.
 func (r *replay) exp(seconds float64) time.Duration {
 	return time.Duration(r.rng.ExpFloat64() * seconds * float64(time.Second))
 }
@@ -76,7 +78,7 @@
 		served = append(served, t.served)
 	}
 	sort.Ints(served)
-	return fmt.Sprintf("asked %d, in goal %.3f, late %.3f, shed %d, failed %d, far %.2f, busiest/mean %.2f, served %v",
+	return fmt.Sprintf("requests %d, in goal %.3f, late %.3f, refused %d, failed %d, far %.2f, busiest/mean %.2f, served %v",
 		r.requests, r.share(r.inGoal), r.share(r.late), r.refused, r.failed,
 		float64(r.far)/float64(max(r.opened, 1)), r.sum.busiest/r.sum.mean, served)
 }
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -14,8 +14,8 @@
 }
 
 // newOlderStart returns a fixture with a target and three flows there that were open when the
-// list of targets was last complete: an idle flow, one that waits for the answer to an
-// idempotent request, and one that waits for that to a non-idempotent request.
+// list of targets was last complete: on port 1 an idle flow, on port 2 one with an idempotent
+// request in flight, and on port 3 one with a non-idempotent request in flight.
 func newOlderStart(t *testing.T) *fixture {
 	b := newFixture(t, startedTarget(1, 1000, 10))
 	b.openFlow(1, streams)
@@ -112,7 +112,7 @@
 	b := newFixture(t, startedTarget(1, 1000, 10))
 	b.f.PutTarget(b.now, startedTarget(1, 500, 20))
 	if lost := b.f.PutTarget(b.now, startedTarget(1, 1000, 10)); len(lost) != 0 || b.state(1).Born.Millis != 500 {
-		t.Errorf("start %v is in force, want that of the later revision", b.state(1).Born)
+		t.Errorf("the known start is %v, want that of the later revision", b.state(1).Born)
 	}
 }
 
@@ -127,14 +127,14 @@
 		t.Fatalf("%d checks, want 1", len(checked))
 	}
 	b.f.PutTarget(b.now, startedTarget(1, 5000, 20))
-	if v := b.f.Checked(b.now, checked[0].Start(), Gone); v.Notify || b.state(1).dead {
-		t.Error("a check of the older start was taken for one of the new")
+	if result := b.f.Checked(b.now, checked[0].Start(), Gone); result.Notify || b.state(1).dead {
+		t.Error("the result of a check of the older start was applied to the new one")
 	}
 	if b.f.checksRunning != 0 {
-		t.Errorf("%d checks under way, want none", b.f.checksRunning)
+		t.Errorf("%d checks running, want none", b.f.checksRunning)
 	}
 	if b.f.SameStart(1, rev(19)) || !b.f.SameStart(1, rev(20)) {
-		t.Error("a peer whose copy ends before the restart speaks of the older start")
+		t.Error("SameStart is wrong: a peer means the older start if its replica ends before the restart, else the new one")
 	}
 }
 
@@ -143,8 +143,8 @@
 // belong to the new start.
 func TestCheckFindsAnotherStart(t *testing.T) {
 	b := newOlderStart(t)
-	if v := b.f.Checked(b.now, startedTarget(1, 1000, 10).Start(), Restarted); len(v.Resets) != 0 || !v.Notify {
-		t.Errorf("result %+v", v)
+	if result := b.f.Checked(b.now, startedTarget(1, 1000, 10).Start(), Restarted); len(result.Resets) != 0 || !result.Notify {
+		t.Errorf("result %+v", result)
 	}
 	b.want(b.handle(packet(9, streams, SYN, 0)), ResetNoTarget)
 	b.want(b.sendRequest(1, streams, 1, 101, 1000), Forwarded)
@@ -225,7 +225,7 @@
 }
 
 // After a restore of the store from an older copy, registrations less recent than what is
-// known must be held back until the targets have written again. Otherwise a leaving target
+// known must not be applied until the targets have written again. Otherwise a leaving target
 // would get flows, one that has left would return, and flows of a start missing in the copy
 // would be reset.
 func TestKnowsNewer(t *testing.T) {
@@ -235,7 +235,7 @@
 		want  bool
 	}{
 		{"nothing", func(*fixture, Target) {}, false},
-		{"said that it leaves", func(b *fixture, x Target) {
+		{"announced that it leaves", func(b *fixture, x Target) {
 			x.Draining = true
 			b.f.PutTarget(b.now, x)
 		}, true},
@@ -258,6 +258,6 @@
 		}
 	}
 	if newFixture(t).f.KnowsNewer(startedTarget(78, 1000, 5)) {
-		t.Error("nothing is known of the target")
+		t.Error("an unknown target: true, want false")
 	}
 }
--- a/internal/direct/spill_test.go
+++ b/internal/direct/spill_test.go
@@ -20,16 +20,16 @@
 	return r
 }
 
-// In a large fleet each balancer sees few of the requests of a crowded data centre and takes
-// all its targets for idle, while their queues are full and refuse requests. Response times
-// have to make openings spill to the data centres with room, in fleets of any size.
+// In a large fleet each balancer sees few of the requests of a crowded data centre. All its
+// targets look idle to the balancer, while their queues are full and refuse requests. Response
+// times have to make openings spill to the data centres with room, in fleets of any size.
 func TestFullDataCentreSpills(t *testing.T) {
 	for _, c := range []struct{ balancers, targets int }{{3, 20}, {9, 20}, {29, 40}, {60, 80}} {
-		r, off := runCrowded(1, c.balancers, c.targets, 0), runCrowded(1, c.balancers, c.targets, 1<<Spill)
-		now, without := r.share(r.inGoal), off.share(off.inGoal)
-		t.Logf("%d balancers a data centre: %.3f in goal, %.3f if all stay near", c.balancers, now, without)
-		if now < 0.97 {
-			t.Errorf("%d balancers a data centre: %.3f in goal, want 0.97", c.balancers, now)
+		on, off := runCrowded(1, c.balancers, c.targets, 0), runCrowded(1, c.balancers, c.targets, 1<<Spill)
+		withSpill, withoutSpill := on.share(on.inGoal), off.share(off.inGoal)
+		t.Logf("%d balancers a data centre: %.3f in goal, %.3f without spilling", c.balancers, withSpill, withoutSpill)
+		if withSpill < 0.97 {
+			t.Errorf("%d balancers a data centre: %.3f in goal, want 0.97", c.balancers, withSpill)
 		}
 	}
 }
@@ -47,6 +47,7 @@
 	return x
 }
 
+// shareOf returns the share of openings that spill to the data centre of a target.
 func (b *fixture) shareOf(id TargetID) float64 { return b.state(id).group.spillShare }
 
 // Openings spill from a full data centre only to those with room. If all are equally full,
@@ -82,14 +83,14 @@
 		x.f.Tick(x.now)
 	}
 	if sum := x.shareOf(2) + x.shareOf(3); sum < 0.5 || sum > maxSpillShare+1e-9 {
-		t.Errorf("%.2f of the openings go away, want %.2f", sum, maxSpillShare)
+		t.Errorf("%.2f of the openings spill, want at least 0.5 and at most %.2f", sum, maxSpillShare)
 	}
 	for range 50 {
 		x.now += 100 * time.Millisecond
 		x.f.Tick(x.now)
 	}
 	if sum := x.shareOf(2) + x.shareOf(3); sum > 0 {
-		t.Errorf("%.2f of the openings still go away", sum)
+		t.Errorf("%.2f of the openings still spill", sum)
 	}
 }
 
@@ -135,10 +136,10 @@
 // a route. Later answers must still show whether a data centre is full.
 func TestLatencyRatioAfterZeroTimes(t *testing.T) {
 	b := newFixture(t, target1(1, "a"), target1(2, "b"))
-	u := b.f.baselineOf(streams)
+	base := b.f.baselineOf(streams)
 	for range 2 * minSamples {
-		u.learn(0, 2000)
-		u.learnLongTerm(0)
+		base.learn(0, 2000)
+		base.learnLongTerm(0)
 	}
 	id := b.openFlow(1, streams)
 	b.sendRequest(1, streams, id, 101, 1000)
--- a/internal/direct/suspect_test.go
+++ b/internal/direct/suspect_test.go
@@ -49,14 +49,14 @@
 			waiting = append(waiting, port)
 		}
 	}
-	note := uint16(500)
-	for b.openFlow(note, notes) != silent {
-		note++
+	notePort := uint16(500)
+	for b.openFlow(notePort, notes) != silent {
+		notePort++
 	}
 	b.now += 300 * time.Millisecond
-	for _, p := range append(waiting, note) {
+	for _, p := range append(waiting, notePort) {
 		to := streams
-		if p == note {
+		if p == notePort {
 			to = notes
 		}
 		b.sendRequest(p, to, silent, 101, 1000)
@@ -69,7 +69,7 @@
 	if b.state(silent).eligible(b.now) {
 		t.Error("new flows still go to the silent target")
 	}
-	var v CheckResult
+	var result CheckResult
 	for range confirmChecks {
 		if !b.f.ChecksDue() && len(b.f.TargetsToCheck(b.now)) == 0 {
 			t.Fatal("the silent target is not checked")
@@ -77,17 +77,17 @@
 		b.f.TargetsToCheck(b.now)
 		b.now += 150 * time.Millisecond
 		b.showAllAlive(silent)
-		v = b.f.Checked(b.now, Start{ID: silent}, Silent)
+		result = b.f.Checked(b.now, Start{ID: silent}, Silent)
 		b.now += confirmPause
 	}
 	var reset []uint16
-	for _, s := range v.Resets {
+	for _, s := range result.Resets {
 		reset = append(reset, s.Caller.Port())
 	}
 	if want := append([]uint16{idlePort}, append(waiting, alivePort(silent))...); !slices.Equal(reset, want) {
 		t.Errorf("the flows %v are reset, want the waiting and the idle ones: %v", reset, want)
 	}
-	b.want(b.sendRequest(note, notes, silent, 101, 1000), Forwarded)
+	b.want(b.sendRequest(notePort, notes, silent, 101, 1000), Forwarded)
 }
 
 // A target's machine is reachable but refuses the connection: the target has crashed, and all
@@ -101,9 +101,9 @@
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked")
 	}
-	v := b.f.Checked(b.now, Start{ID: id}, Gone)
-	if len(v.Resets) != 1 || !v.Notify {
-		t.Errorf("result %+v, want one reset and a notification", v)
+	result := b.f.Checked(b.now, Start{ID: id}, Gone)
+	if len(result.Resets) != 1 || !result.Notify {
+		t.Errorf("result %+v, want one reset and a notification", result)
 	}
 	if again := b.f.Checked(b.now, Start{ID: id}, Gone); len(again.Resets) != 0 || again.Notify {
 		t.Errorf("second result %+v, want nothing new", again)
@@ -112,7 +112,7 @@
 
 // A target that had announced that it leaves closes its listening socket, so that a check is
 // refused, while it still answers its last requests. Those flows must not be reset. If a
-// caller retransmits, its target has ended.
+// caller's retransmission stays unacknowledged, the target has ended.
 func TestEndingTargetAnswersItsLastRequests(t *testing.T) {
 	b := newFixture(t, manyTargets(3)...)
 	b.showAllAlive(0)
@@ -127,7 +127,7 @@
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked")
 	}
-	if v := b.f.Checked(b.now, Start{ID: ending}, Gone); len(v.Resets) != 0 {
+	if result := b.f.Checked(b.now, Start{ID: ending}, Gone); len(result.Resets) != 0 {
 		t.Error("a flow was reset whose target still serves it")
 	}
 	b.want(b.sendRequest(1, streams, ending, 401, 1000), Forwarded)
@@ -137,9 +137,9 @@
 	if len(b.f.TargetsToCheck(b.now)) != 1 {
 		t.Fatal("the target is not checked after a retransmission")
 	}
-	v := b.f.Checked(b.now, Start{ID: ending}, Gone)
-	if len(v.Resets) != 2 || v.Resets[0].Caller.Port() != 1 || v.Resets[1].Caller.Port() != alivePort(ending) {
-		t.Errorf("reset after a retransmission: %v, want the retransmitting flow and the idle one", v.Resets)
+	result := b.f.Checked(b.now, Start{ID: ending}, Gone)
+	if len(result.Resets) != 2 || result.Resets[0].Caller.Port() != 1 || result.Resets[1].Caller.Port() != alivePort(ending) {
+		t.Errorf("reset after a retransmission: %v, want the retransmitting flow and the idle one", result.Resets)
 	}
 }
 
@@ -178,7 +178,7 @@
 	}
 	b.f.Checked(b.now+time.Millisecond, Start{ID: id}, Alive)
 	if !b.state(id).eligible(b.now) {
-		t.Error("the check's answer does not clear the target")
+		t.Error("the target is still avoided after an answered check")
 	}
 }
 
@@ -199,8 +199,8 @@
 		b.handle(answered)
 		b.now += 170 * time.Millisecond
 		b.showAllAlive(id)
-		if v := b.f.Checked(b.now, Start{ID: id}, Silent); len(v.Resets) > 0 || v.Notify {
-			t.Fatalf("result %+v for a living target", v)
+		if result := b.f.Checked(b.now, Start{ID: id}, Silent); len(result.Resets) > 0 || result.Notify {
+			t.Fatalf("result %+v for a living target", result)
 		}
 	}
 	if !b.state(id).eligible(b.now) {
--- a/internal/direct/unreachable_test.go
+++ b/internal/direct/unreachable_test.go
@@ -8,20 +8,20 @@
 // Callers keep flows open and send about one non-idempotent request a second on each. A
 // request sent on a flow of a dead target is lost, as its caller does not retry. Three of 14
 // targets become unreachable, and their idle flows have to be reset before the next requests.
-// Twice as many requests are lost without resets of idle flows, and more if reports of
-// waiting callers at peers are ignored.
+// At least twice as many requests have to be lost without resets of idle flows, and more if
+// the reports of peers whose callers wait are ignored.
 func TestIdleFlowsOfDarkTargets(t *testing.T) {
 	lost := map[MechanismSet]int{}
-	asked := 0
+	allRequests := 0 // of all runs
 	for _, without := range []MechanismSet{0, 1 << IdleResets, 1 << PeerDeaths} {
 		for seed := range uint64(20) {
 			r := runWithUnreachable(11+seed, without)
 			lost[without] += r.failed
-			asked += r.requests
+			allRequests += r.requests
 		}
 		t.Logf("without %q: %d lost", without, lost[without])
 	}
-	if got := float64(lost[0]) / float64(asked/3); got > 0.0095 {
+	if got := float64(lost[0]) / float64(allRequests/3); got > 0.0095 {
 		t.Errorf("%.4f of the requests were lost", got)
 	}
 	if lost[0]*2 > lost[1<<IdleResets] {
@@ -69,8 +69,8 @@
 		if answers {
 			finding = Alive
 		}
-		if v := b.f.Checked(b.now, Start{ID: id}, finding); len(v.Resets) != 0 {
-			t.Errorf("%d flows were reset though no caller waits there", len(v.Resets))
+		if result := b.f.Checked(b.now, Start{ID: id}, finding); len(result.Resets) != 0 {
+			t.Errorf("%d flows were reset though no caller waits there", len(result.Resets))
 		}
 		b.now += 100 * time.Millisecond
 		lost := b.f.PeerFoundDead(b.now, id)
--- a/internal/direct/update_test.go
+++ b/internal/direct/update_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A caller returns the cookie of a target that left while this balancer was down. The caller
-// must not retransmit until its deadline, but the registration of a new target may still be
-// on its way, so the reset waits for a complete list.
+// A caller returns the cookie of a target that left while this balancer was down. A reset
+// keeps the caller from retransmitting until its deadline. But the cookie may also be that of
+// a new target whose registration has not arrived yet, so the reset waits for a complete list.
 func TestUnknownCookieIsResetAfterAWhile(t *testing.T) {
 	b := newFixture(t, target1(1, "a"))
 	b.want(b.handle(packet(1, streams, ACK, 77)), DroppedWait)
