--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -90,7 +90,7 @@
 	if !errors.Is(err, direct.ErrReset) {
 		return
 	}
-	if x := w.targetOf(fl); x != nil && !x.ended.Load() && x.Holds(fl.Peer()) {
+	if x := w.targetOf(fl); x != nil && !x.ended.Load() && x.OpenedInThisStart(fl.TargetISN()) {
 		w.t.Errorf("flow of request %s was reset although the start of target %s that accepted it is running", body, x.Name())
 		w.trace(fl.Local())
 	}
