--- a/internal/model/describe.go
+++ b/internal/model/describe.go
@@ -22,15 +22,15 @@
 }
 
 // describe returns one line about a message for the trace of a run.
-func describe(f *message) string {
-	from := [...]string{"caller's", "passed on", "to target", "answer of target", "to caller", "handover"}
-	if f.leg == handover {
-		return fmt.Sprintf("handover of %d flows", len(f.moved))
+func describe(m *message) string {
+	legs := [...]string{"from caller", "from peer", "to target", "from target", "to caller", "handover"}
+	if m.leg == handover {
+		return fmt.Sprintf("handover of %d flows", len(m.moved))
 	}
-	seg, err := packet.Parse(f.b)
+	seg, err := packet.Parse(m.b)
 	if err != nil {
 		return "unreadable"
 	}
-	return fmt.Sprintf("%s %d: %v seq %d ack %d len %d hop %d/%d/%d", from[f.leg], f.index,
-		seg.Flags, seg.Seq, seg.Ack, seg.PayloadLen, f.hop.Kind, f.hop.Count, f.hop.Flags)
+	return fmt.Sprintf("%s %d: %v seq %d ack %d len %d hop %d/%d/%d", legs[m.leg], m.index,
+		seg.Flags, seg.Seq, seg.Ack, seg.PayloadLen, m.hop.Kind, m.hop.Count, m.hop.Flags)
 }
--- a/internal/model/endpoint.go
+++ b/internal/model/endpoint.go
@@ -25,8 +25,8 @@
 	synSent
 	established
 	answered
-	refused
-	broken
+	refused // by a reset in answer to the SYN
+	broken  // by a reset after the SYN-ACK
 )
 
 // caller models one TCP connection (RFC 9293) that carries one request. It
@@ -39,15 +39,15 @@
 	isn             uint32
 	phase           phase
 	target          int    // index of the target whose SYN-ACK it accepted, or -1
-	peer            uint32 // that target's initial sequence number
-	from            int    // index of the target that answered, or -1
+	targetISN       uint32 // that target's initial sequence number
+	answeredBy      int    // index of the target that answered, or -1
 	retransmissions int
 }
 
 func newCaller(i int) *caller {
 	const port = 40000
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, 100, byte(i + 1)}), port)
-	return &caller{index: i, addr: addr, service: serviceAddress, isn: uint32(i+1) << 20, target: -1, from: -1}
+	return &caller{index: i, addr: addr, service: serviceAddress, isn: uint32(i+1) << 20, target: -1, answeredBy: -1}
 }
 
 const request = "note"
@@ -58,7 +58,8 @@
 
 func (c *caller) syn() []byte { return c.build(c.isn, 0, flagSyn, "") }
 
-// retransmission returns the packet that the caller is waiting to have answered.
+// retransmission returns the packet that a waiting caller sends again: its request if the
+// connection is established, or else its SYN.
 func (c *caller) retransmission() []byte {
 	if c.phase == established {
 		return c.data()
@@ -66,14 +67,13 @@
 	return c.syn()
 }
 
-// waiting reports whether the caller expects an answer from the network.
+// waiting reports whether the caller waits for a SYN-ACK or for the answer to its request.
 func (c *caller) waiting() bool { return c.phase == synSent || c.phase == established }
 
-func (c *caller) data() []byte { return c.build(c.isn+1, c.peer+1, flagAck|flagPsh, request) }
+func (c *caller) data() []byte { return c.build(c.isn+1, c.targetISN+1, flagAck|flagPsh, request) }
 
 // receive handles a packet that reached the caller and returns the packets that
-// the caller sends in response. The sender is the index of the target that
-// built the packet, or -1 for a balancer.
+// the caller sends in response. The sender is that of the message.
 func (c *caller) receive(seg *packet.Segment, sender int) [][]byte {
 	switch c.phase {
 	case synSent:
@@ -98,8 +98,8 @@
 	case seg.IsAccept() && seg.Ack == c.isn+1:
 		c.phase = established
 		c.target = sender
-		c.peer = seg.Seq
-		return [][]byte{c.build(c.isn+1, c.peer+1, flagAck, ""), c.data()}
+		c.targetISN = seg.Seq
+		return [][]byte{c.build(c.isn+1, c.targetISN+1, flagAck, ""), c.data()}
 	case seg.HasAck() && seg.Ack != c.isn+1:
 		return [][]byte{packet.ResetTo(seg)}
 	}
@@ -110,14 +110,14 @@
 func (c *caller) receiveEstablished(seg *packet.Segment, sender int) [][]byte {
 	switch {
 	case seg.IsReset():
-		if seg.Seq == c.peer+1 {
+		if seg.Seq == c.targetISN+1 {
 			c.phase = broken
 		}
 	case seg.IsAccept():
-		return [][]byte{c.build(c.isn+1+uint32(len(request)), c.peer+1, flagAck, "")}
-	case seg.PayloadLen > 0 && seg.Seq == c.peer+1 && seg.Ack == c.isn+1+uint32(len(request)):
+		return [][]byte{c.build(c.isn+1+uint32(len(request)), c.targetISN+1, flagAck, "")}
+	case seg.PayloadLen > 0 && seg.Seq == c.targetISN+1 && seg.Ack == c.isn+1+uint32(len(request)):
 		c.phase = answered
-		c.from = sender
+		c.answeredBy = sender
 		if seg.IsFin() {
 			next := seg.Seq + uint32(seg.PayloadLen) + 1
 			return [][]byte{c.build(seg.Ack, next, flagAck|flagFin, "")}
@@ -127,7 +127,7 @@
 }
 
 func (c *caller) key() string {
-	return fmt.Sprintf("c%d %d %d %d %d;", c.phase, c.target, c.peer, c.from, c.retransmissions)
+	return fmt.Sprintf("c%d %d %d %d %d;", c.phase, c.target, c.targetISN, c.answeredBy, c.retransmissions)
 }
 
 // target models the TCP stack and the server of one target.
@@ -145,9 +145,9 @@
 }
 
 type conn struct {
-	caller uint32 // the caller's initial sequence number
-	open   bool   // the handshake is complete
-	ran    bool   // the request was executed
+	callerISN uint32 // the caller's initial sequence number
+	open      bool   // the handshake is complete
+	ran       bool   // the request was executed
 }
 
 // isn returns the target's initial sequence number, the same for every caller
@@ -173,7 +173,7 @@
 	}
 	c.open = true
 	t.conns[seg.Src] = c
-	if seg.PayloadLen == 0 || seg.Ack != t.isn()+1 || seg.Seq != c.caller+1 {
+	if seg.PayloadLen == 0 || seg.Ack != t.isn()+1 || seg.Seq != c.callerISN+1 {
 		return nil
 	}
 	if !c.ran {
@@ -191,19 +191,19 @@
 // next returns the sequence number that the target expects from the caller.
 func (t *target) next(c conn) uint32 {
 	if c.ran {
-		return c.caller + 1 + uint32(len(request))
+		return c.callerISN + 1 + uint32(len(request))
 	}
-	return c.caller + 1
+	return c.callerISN + 1
 }
 
 func (t *target) receiveOpening(seg *packet.Segment, c conn, known, shed bool) [][]byte {
 	switch {
-	case known && (c.open || t.bareAcks && c.caller == seg.Seq):
+	case known && (c.open || t.bareAcks && c.callerISN == seg.Seq):
 		return [][]byte{packet.Build(seg.Dst, seg.Src, t.isn()+1, t.next(c), flagAck, nil)}
 	case !known && shed:
 		return [][]byte{packet.ResetTo(seg)}
 	}
-	t.conns[seg.Src] = conn{caller: seg.Seq}
+	t.conns[seg.Src] = conn{callerISN: seg.Seq}
 	return [][]byte{t.accept(seg.Dst, seg.Src, seg.Seq)}
 }
 
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -10,16 +10,17 @@
 type step struct {
 	kind    stepKind
 	message int // position in world.network
-	index   int // of the balancer, target or caller concerned
+	index   int // of the balancer, target or caller that the step concerns
 }
 
+// stepKind is the kind of a step. Those up to stepShed concern a message.
 type stepKind int
 
 const (
 	stepDeliver stepKind = iota
 	stepLose
 	stepDuplicate
-	stepShed
+	stepShed // the target refuses the opening that it receives
 	stepTick
 	stepNextView
 	stepCrash
@@ -28,8 +29,8 @@
 
 // Report is the result of an exploration.
 type Report struct {
-	States    int
-	Depth     int
+	States    int      // number of distinct states visited
+	Depth     int      // number of steps of the longest paths tried
 	Complete  bool     // every state within the bounds was visited
 	Violation string   // the violated property, or ""
 	Trace     []string // steps that lead to the violation
@@ -83,17 +84,17 @@
 	var out []step
 	seen := map[string]bool{}
 	for i := range w.network {
-		f := &w.network[i]
-		k := f.key()
+		m := &w.network[i]
+		k := m.key()
 		if seen[k] {
 			continue
 		}
 		seen[k] = true
-		out = append(out, w.deliveries(i, f)...)
+		out = append(out, w.deliveries(i, m)...)
 		if w.budget.Losses > 0 {
 			out = append(out, step{stepLose, i, 0})
 		}
-		if w.budget.Duplicates > 0 && f.leg != handover {
+		if w.budget.Duplicates > 0 && m.leg != handover {
 			out = append(out, step{stepDuplicate, i, 0})
 		}
 	}
@@ -120,8 +121,8 @@
 }
 
 // deliveries returns the steps by which message i can reach a receiver.
-func (w *world) deliveries(i int, f *message) []step {
-	switch f.leg {
+func (w *world) deliveries(i int, m *message) []step {
+	switch m.leg {
 	case callerToFabric, targetToFabric:
 		var out []step
 		for j, b := range w.balancers {
@@ -132,13 +133,13 @@
 		}
 		return out
 	case balancerToTarget:
-		out := []step{{stepDeliver, i, f.index}}
+		out := []step{{stepDeliver, i, m.index}}
 		if w.budget.Sheds > 0 {
-			out = append(out, step{stepShed, i, f.index})
+			out = append(out, step{stepShed, i, m.index})
 		}
 		return out
 	}
-	return []step{{stepDeliver, i, f.index}}
+	return []step{{stepDeliver, i, m.index}}
 }
 
 func (w *world) apply(s step) {
@@ -157,10 +158,10 @@
 		w.retransmit(w.callers[s.index])
 		return
 	}
-	f := w.network[s.message]
+	m := w.network[s.message]
 	if s.kind == stepDuplicate {
 		w.budget.Duplicates--
-		w.network = append(w.network, f)
+		w.network = append(w.network, m)
 		return
 	}
 	w.network = append(w.network[:s.message:s.message], w.network[s.message+1:]...)
@@ -169,20 +170,20 @@
 		w.budget.Losses--
 	case stepShed:
 		w.budget.Sheds--
-		w.deliverToTarget(f, true)
+		w.deliverToTarget(m, true)
 	case stepDeliver:
-		w.deliver(s.index, f)
+		w.deliver(s.index, m)
 	}
 }
 
-func (w *world) deliver(i int, f message) {
-	switch f.leg {
+func (w *world) deliver(i int, m message) {
+	switch m.leg {
 	case balancerToTarget:
-		w.deliverToTarget(f, false)
+		w.deliverToTarget(m, false)
 	case balancerToCaller:
-		w.deliverToCaller(f)
+		w.deliverToCaller(m)
 	default:
-		w.deliverToBalancer(i, f)
+		w.deliverToBalancer(i, m)
 	}
 }
 
@@ -209,8 +210,8 @@
 	for _, s := range path {
 		text := fmt.Sprintf("%s %d", names[s.kind], s.index)
 		if s.kind <= stepShed {
-			f := w.network[s.message]
-			text = fmt.Sprintf("%s to %d: %s", names[s.kind], s.index, describe(&f))
+			m := w.network[s.message]
+			text = fmt.Sprintf("%s to %d: %s", names[s.kind], s.index, describe(&m))
 		}
 		out = append(out, text)
 		w.apply(s)
--- a/internal/model/liveness.go
+++ b/internal/model/liveness.go
@@ -3,6 +3,8 @@
 import "fmt"
 
 const (
+	// livenessRounds is the number of rounds, of tickStep each, within which every
+	// caller must have an answer.
 	livenessRounds = 80
 	// retransmitRounds is the number of rounds, of tickStep each, between two
 	// retransmissions of a caller.
@@ -14,8 +16,8 @@
 
 // checkLiveness ends all faults: every balancer applies the last view, without
 // the dead balancers, every packet is delivered and callers retransmit. It
-// logs each delivery and returns "", or a violation if a caller is still without
-// an answer after livenessRounds.
+// logs each delivery. It returns "", or a violation: of a safety property, by a
+// forwarding loop, or by a caller without an answer after livenessRounds.
 func (w *world) checkLiveness(log func(format string, args ...any)) string {
 	for i, b := range w.balancers {
 		if !b.dead {
@@ -57,11 +59,11 @@
 		if n == roundDeliveries {
 			return "forwarding loop between balancers"
 		}
-		f := w.network[0]
+		m := w.network[0]
 		w.network = w.network[1:]
-		to := w.nextHop(&f, round/retransmitRounds+n)
-		log("round %d, to %d: %s", round, to, describe(&f))
-		w.deliver(to, f)
+		to := w.nextHop(&m, round/retransmitRounds+n)
+		log("round %d, to %d: %s", round, to, describe(&m))
+		w.deliver(to, m)
 	}
 	return w.violation()
 }
@@ -71,7 +73,7 @@
 	for _, t := range w.targets {
 		for _, c := range w.callers {
 			if k, known := t.conns[c.addr]; known && !k.open {
-				w.send(message{leg: targetToFabric, index: t.index, vni: t.number, sender: t.index, b: t.accept(c.service, c.addr, k.caller)})
+				w.send(message{leg: targetToFabric, index: t.index, vni: t.number, sender: t.index, b: t.accept(c.service, c.addr, k.callerISN)})
 			}
 		}
 	}
@@ -79,9 +81,9 @@
 
 // nextHop returns the index of the receiver of a message. The fabric chooses a
 // live balancer by n, so that retransmissions reach all of them in turn.
-func (w *world) nextHop(f *message, n int) int {
-	if f.leg != callerToFabric && f.leg != targetToFabric {
-		return f.index
+func (w *world) nextHop(m *message, n int) int {
+	if m.leg != callerToFabric && m.leg != targetToFabric {
+		return m.index
 	}
 	for i := range w.balancers {
 		j := (n + i) % len(w.balancers)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -18,7 +18,7 @@
 }
 
 // Each case allows one or two kinds of fault, so that its states can be visited
-// within seconds.
+// within seconds. Together the cases cover the required pairs of faults.
 func TestCoreProtocolWithinBounds(t *testing.T) {
 	base := Bounds{Balancers: 2, Targets: 2, Depth: 60, States: states(), Class: catalogue.Stream}
 	cases := map[string]func(*Bounds){
@@ -60,7 +60,7 @@
 	})
 	t.Logf("%d states to depth %d", r.States, r.Depth)
 	if r.Violation == "" {
-		t.Fatal("the broken variant passed")
+		t.Fatal("no violation was found in the broken variant")
 	}
 	for _, s := range r.Trace {
 		t.Log(s)
--- a/internal/model/violation.go
+++ b/internal/model/violation.go
@@ -30,7 +30,7 @@
 		return "the request ran twice"
 	case c.phase == refused && runs > 0:
 		return "the request was refused but run"
-	case c.phase == answered && c.from != c.target:
+	case c.phase == answered && c.answeredBy != c.target:
 		return "the answer came from another target"
 	case c.phase == broken && w.bounds.Crashes == w.budget.Crashes:
 		return "an established flow was reset"
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -25,19 +25,19 @@
 type Bounds struct {
 	Balancers         int
 	Targets           int
-	Losses            int
-	Duplicates        int
+	Losses            int // of messages
+	Duplicates        int // of packets
 	Ticks             int // of tickStep, for each balancer
 	Retransmissions   int // of each caller
-	Sheds             int
-	Crashes           int
-	Joins             int // the last balancers join one by one, with the views
-	Depth             int
+	Sheds             int // openings that targets refuse
+	Crashes           int // of balancers
+	Joins             int // number of last balancers that join, one with each view
+	Depth             int // steps from the initial state
 	States            int // stop after this number of states
 	Class             catalogue.Class
 	Callers           int  // 1 if zero
 	Slots             int  // of each target, 2 if zero
-	Drains            int  // the first targets drain one by one, with the views
+	Drains            int  // number of first targets that drain, one with each view
 	BareAcks          bool // targets answer retransmitted openings with bare acknowledgements
 	NoPeers           bool // broken variant: no balancer knows any other
 	ResetOnLateAccept bool // broken variant: a target is reset as soon as its SYN-ACK is dropped
@@ -61,8 +61,8 @@
 	tickStep = 260 * time.Millisecond
 	deadline = 2 * time.Second
 	service  = 101
-	// maxFlows is far more than the flows of a run, because they are spread over
-	// few parts of the table.
+	// maxFlows leaves each shard of the flow table room for far more entries than
+	// a run has flows, which may all be in few shards.
 	maxFlows = 1 << 16
 )
 
@@ -87,13 +87,13 @@
 	vni    uint32
 	hop    geneve.Hop
 	hasHop bool
-	sender int // index of the target that built the packet, or -1
+	sender int // index of the target that built the packet, or sent the one that a router built it from; or -1
 	b      []byte
 	moved  []router.Moved
 }
 
-func (f *message) key() string {
-	return fmt.Sprintf("%d %d %d %v %d %x %v", f.leg, f.index, f.vni, f.hop, f.sender, f.b, f.moved)
+func (m *message) key() string {
+	return fmt.Sprintf("%d %d %d %v %d %x %v", m.leg, m.index, m.vni, m.hop, m.sender, m.b, m.moved)
 }
 
 // balancer is a router with its own clock and view.
@@ -103,7 +103,7 @@
 	view     int
 	ticks    int
 	dead     bool
-	answered []*atomic.Int64 // by target identifier
+	answered []*atomic.Int64 // time of each target's last answer, by target identifier
 	// excludesDead makes its view leave out dead balancers.
 	excludesDead bool
 }
@@ -123,7 +123,7 @@
 	targets   []*target
 	callers   []*caller
 	network   []message
-	budget    Bounds // faults still available
+	budget    Bounds // faults that may still occur
 	out       router.Output
 }
 
@@ -156,38 +156,38 @@
 
 func nodeAddr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 10, 0, byte(i + 1)}) }
 
-func (w *world) send(f message) { w.network = append(w.network, f) }
+func (w *world) send(m message) { w.network = append(w.network, m) }
 
 // deliverToBalancer hands a packet to balancer i.
-func (w *world) deliverToBalancer(i int, f message) {
+func (w *world) deliverToBalancer(i int, m message) {
 	b := w.balancers[i]
 	if b.dead {
 		return
 	}
 	w.out.Reset()
-	if f.leg == handover {
-		b.r.Take(b.now, f.moved, &w.out)
-		w.sendOutput(f.sender)
+	if m.leg == handover {
+		b.r.Take(b.now, m.moved, &w.out)
+		w.sendOutput(m.sender)
 		return
 	}
-	d := geneve.Datagram{VNI: f.vni, Hop: f.hop, HasHop: f.hasHop, Inner: f.b}
+	d := geneve.Datagram{VNI: m.vni, Hop: m.hop, HasHop: m.hasHop, Inner: m.b}
 	src := netip.MustParseAddr("127.0.9.1")
-	if f.leg == targetToFabric {
-		src = w.targets[f.index].addr
+	if m.leg == targetToFabric {
+		src = w.targets[m.index].addr
 	}
 	b.r.Alive(b.now)
 	dropped := b.r.Count(router.DropLateAccept)
 	b.r.Handle(b.now, src, &d, &w.out)
-	w.sendOutput(f.sender)
+	w.sendOutput(m.sender)
 	if w.bounds.ResetOnLateAccept && b.r.Count(router.DropLateAccept) > dropped {
-		w.resetSender(&f)
+		w.resetSender(&m)
 	}
 }
 
 // resetSender resets the target that sent a SYN-ACK.
-func (w *world) resetSender(f *message) {
-	if seg, err := packet.Parse(f.b); err == nil {
-		w.send(message{leg: balancerToTarget, index: f.sender, vni: service, sender: -1, b: packet.ResetTo(&seg)})
+func (w *world) resetSender(m *message) {
+	if seg, err := packet.Parse(m.b); err == nil {
+		w.send(message{leg: balancerToTarget, index: m.sender, vni: service, sender: -1, b: packet.ResetTo(&seg)})
 	}
 }
 
@@ -195,36 +195,36 @@
 // whose packet the router handled, or -1.
 func (w *world) sendOutput(sender int) {
 	for _, a := range w.out.Actions {
-		f := message{vni: a.VNI, sender: sender, b: append([]byte(nil), a.Packet...)}
+		m := message{vni: a.VNI, sender: sender, b: append([]byte(nil), a.Packet...)}
 		switch a.To {
 		case router.ToCaller:
-			f.leg = balancerToCaller
+			m.leg = balancerToCaller
 		case router.ToTarget:
-			f.leg = balancerToTarget
+			m.leg = balancerToTarget
 			for _, t := range w.targets {
 				if t.addr == a.Target {
-					f.index = t.index
+					m.index = t.index
 				}
 			}
 		case router.ToPeer:
-			f.leg, f.hop, f.hasHop = balancerToBalancer, a.Hop, true
+			m.leg, m.hop, m.hasHop = balancerToBalancer, a.Hop, true
 			for j := range w.balancers {
 				if nodeAddr(j) == a.Peer.Addr() {
-					f.index = j
+					m.index = j
 				}
 			}
 		}
-		w.send(f)
+		w.send(m)
 	}
 }
 
-func (w *world) deliverToTarget(f message, shed bool) {
-	t := w.targets[f.index]
-	if f.vni != t.number {
+func (w *world) deliverToTarget(m message, shed bool) {
+	t := w.targets[m.index]
+	if m.vni != t.number {
 		t.misdelivered++
 		return
 	}
-	seg, err := packet.Parse(f.b)
+	seg, err := packet.Parse(m.b)
 	if err != nil {
 		return
 	}
@@ -233,8 +233,8 @@
 	}
 }
 
-func (w *world) deliverToCaller(f message) {
-	seg, err := packet.Parse(f.b)
+func (w *world) deliverToCaller(m message) {
+	seg, err := packet.Parse(m.b)
 	if err != nil {
 		return
 	}
@@ -242,7 +242,7 @@
 		if c.addr != seg.Dst {
 			continue
 		}
-		for _, b := range c.receive(&seg, f.sender) {
+		for _, b := range c.receive(&seg, m.sender) {
 			w.send(message{leg: callerToFabric, sender: -1, b: b})
 		}
 	}
