--- a/internal/experiment/account.go
+++ b/internal/experiment/account.go
@@ -15,11 +15,11 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// Account prints, for each of the report files, the late and failed requests of the day
-// by the disturbance that they are attributed to.
+// Account prints, for each of the report files, the worth of the day and its late and
+// failed requests by the disturbance that they are attributed to.
 func Account(_ context.Context, files []string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "day\tworth\tfailed\tlate\tfailed and late, by what had begun last")
+	fmt.Fprintln(w, "day\tworth\tfailed\tlate\tfailed + late by disturbance that began last")
 	for _, file := range files {
 		r, err := platform.ReadReport(file)
 		if err != nil {
@@ -41,7 +41,7 @@
 	// covers the callers' deadlines.
 	effectAfterEnd = 3 * time.Second
 	// noDisturbance is the kind of losses to which no disturbance can be assigned.
-	noDisturbance = "nothing under way"
+	noDisturbance = "no disturbance"
 )
 
 // losses attributes each window's late and failed requests to one disturbance, see causeOf.
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -110,14 +110,17 @@
 	return out
 }
 
-// capacityRow is one measurement of a fleet; figures are means over its daemons.
+// capacityRow is one measurement of a fleet. Figures are means over its daemons, except the
+// store calls, which are sums.
 type capacityRow struct {
 	Daemons, Services, Addresses, Endpoints int
+	// Control bytes per second in and out, control messages per second, share of a core,
+	// resident memory in MiB, and store calls per second of all daemons.
 	ControlBS, Messages, CPU, RSS, StoreRPS float64
-	InForceP50, InForceMax                  time.Duration
-	Start                                   time.Duration
-	StartCalls                              int
-	StartBytes                              float64 // control bytes until ready, per daemon
+	InForceP50, InForceMax                  time.Duration // from an edit until in force at a daemon
+	Start                                   time.Duration // until all daemons are ready
+	StartCalls                              int           // store calls of all daemons until ready
+	StartBytes                              float64       // control bytes until ready, per daemon
 }
 
 func (r capacityRow) fields() []string {
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// meanRSS returns the daemons' mean resident memory in megabytes.
+// meanRSS returns the daemons' mean resident memory in MiB.
 func meanRSS(bed *testbed.Bed) float64 {
 	sum := 0.0
 	for _, x := range bed.Balancers {
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -39,7 +39,7 @@
 	}
 	fmt.Print(Table([]*Outcome{o}))
 	if v := o.Violations(true); len(v) > 0 {
-		return errors.Errorf("broken promises: %v; callers saw %v", v, o.Callers.Errors)
+		return errors.Errorf("broken promises: %v; callers' errors: %v", v, o.Callers.Errors)
 	}
 	fmt.Println("every promise was kept")
 	return nil
--- a/internal/experiment/edit.go
+++ b/internal/experiment/edit.go
@@ -18,7 +18,7 @@
 )
 
 // Edit writes an entry and records in o how long each running balancer takes
-// until the entry is in force.
+// until the entry is in force. It returns an error if any takes more than inForceLimit.
 func Edit(bed *testbed.Bed, s *catalogue.Service, o *Outcome) error {
 	began := time.Now()
 	if err := bed.PutService(s); err != nil {
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -90,9 +90,9 @@
 	}
 	defer func() { _ = f.Close() }()
 	c := o.Callers
-	var im []string
+	var imbalances []string
 	for _, k := range keys(o.Imbalance) {
-		im = append(im, fmt.Sprintf("%s %.1f", k, o.Imbalance[k]))
+		imbalances = append(imbalances, fmt.Sprintf("%s %.1f", k, o.Imbalance[k]))
 	}
 	inForce := "-"
 	if len(o.InForce) > 0 {
@@ -100,7 +100,7 @@
 	}
 	_, err = fmt.Fprintf(f, "| %s | %s %s | %d/%d | %d/%d/%d | %d/%d/%d | %s | %s | %s | %s | %.0f | %.1f | %.2f |\n",
 		label, deployment, o.Scenario, c.StreamsOpened, c.StreamsBroken, c.Answered, c.Refused, c.Broken+c.TimedOut,
-		c.WrongService+c.Crossed, c.RunTwice, c.RefusedButRun, strings.Join(im, "; "),
+		c.WrongService+c.Crossed, c.RunTwice, c.RefusedButRun, strings.Join(imbalances, "; "),
 		o.Reasons("refuse"), o.Reasons("retry"), inForce, o.ControlBS, 100*o.CPU, o.StoreRPS)
 	return err
 }
--- a/internal/experiment/outage.go
+++ b/internal/experiment/outage.go
@@ -49,21 +49,22 @@
 		l.worstWindows, l.late, l.failed)
 }
 
-// Times at which callers send an opening packet and data, since the first transmission, and
-// openingTimeout, after which they give up an opening. All follow from the platform's protocol.
+// Times at which callers send an opening packet and data, since the first transmission. They
+// follow from the platform's protocol, as does openingTimeout.
 var (
 	openingSends = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 	dataSends    = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond, 3000 * time.Millisecond, 4600 * time.Millisecond}
 )
 
 const (
-	openingTimeout = 1400 * time.Millisecond
-	outageAttempts = 3 // openings of a caller, including the first
-	outageSamples  = 400_000
-	outageWindow   = 2 * time.Second
+	openingTimeout = 1400 * time.Millisecond // after which a caller abandons an opening
+	outageAttempts = 3                       // openings of a caller, including the first
+	outageSamples  = 400_000                 // simulated requests
+	outageWindow   = 2 * time.Second         // length of a window
 )
 
-// run simulates requests at random times around the outage.
+// run simulates requests at random times around the outage. The worth of a request is 1 if
+// its answer is in time, lateWorth if it is late, and 0 if it failed.
 func (o outage) run(seed uint64) outageLoss {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const from, to = -4 * time.Second, 6 * time.Second
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -16,7 +16,7 @@
 type Outcome struct {
 	Scenario  string
 	Callers   caller.Result
-	Imbalance map[string]float64 // by service and unit, in percent
+	Imbalance map[string]float64 // by service and unit (requests, streams or slots), in percent
 	MaxSlots  int                // largest number of slots in use at any target
 	Shed      int                // openings that targets refused
 	Counters  map[string]float64 // increase over the run, summed over balancers
@@ -38,7 +38,7 @@
 	return 100 * float64(o.Callers.StreamsBroken+o.Callers.Broken) / float64(opened)
 }
 
-// Violations lists what must never happen under any fault. If planned, the
+// Violations lists the results that must not occur under any fault. If planned, the
 // scenario consists only of operators' actions, so that broken flows are
 // violations too.
 func (o *Outcome) Violations(planned bool) []string {
@@ -62,7 +62,8 @@
 	return out
 }
 
-// Percentile returns the quantile q of the times until a change was in force.
+// Percentile returns the quantile q, between 0 and 1, of the times until a change was in
+// force, or 0 if no change was made.
 func (o *Outcome) Percentile(q float64) time.Duration {
 	if len(o.InForce) == 0 {
 		return 0
@@ -72,7 +73,8 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// Reasons returns the increased packet counters with a prefix, as text.
+// Reasons returns as text the increased packet counters whose names, after packets_,
+// begin with a prefix.
 func (o *Outcome) Reasons(prefix string) string { return o.increases("packets_", prefix) }
 
 // increases returns, as text, the increased counters whose names begin with
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -17,6 +17,8 @@
 	firstCandidate float64 // share of flows at their first candidate, percent
 }
 
+// run simulates six mean durations of a stream and samples the imbalance every second. The
+// first two are left out, in which the number of open streams is still growing.
 func (p policyRun) run(seed uint64) policyResult {
 	s := p.start(seed)
 	var res policyResult
--- a/internal/experiment/policybusy.go
+++ b/internal/experiment/policybusy.go
@@ -33,17 +33,17 @@
 }
 
 const (
-	averageLoad  = 0.5 // reported load of a target with an average number of streams
-	externalLoad = 0.5 // added to the load of the busy target
-	loadInterval = time.Second
-	busyLives    = 3 // length of the busy time, in mean durations of a stream
+	averageLoad       = 0.5         // reported load, where 1 is full, of a target with an average number of streams
+	externalLoad      = 0.5         // added to the load of the busy target
+	loadInterval      = time.Second // between two load reports of a target
+	busyMeanDurations = 3           // length of the busy time, in mean durations of a stream
 )
 
 func (b busyRun) run(seed uint64) busyResult {
 	s := b.start(seed)
 	var res busyResult
 	began := 3 * b.meanDuration
-	ended := began + busyLives*b.meanDuration
+	ended := began + busyMeanDurations*b.meanDuration
 	var history [][]float64
 	samples, samplesBefore := 0, 0
 	for now := time.Duration(0); now < ended+4*b.meanDuration; now += simStep {
@@ -88,7 +88,8 @@
 	return out
 }
 
-// report passes to every home the load reports that are reportLag old.
+// report passes to every home the load reports that are reportLag old. After the busy time
+// the busy target sends none; with reportsKept, homes get its last one again each time.
 func (b busyRun) report(s *policySim, now, ended time.Duration, history [][]float64) {
 	at := len(history) - 1 - int(b.reportLag/loadInterval)
 	if at < 0 || b.use == reportsIgnored {
--- a/internal/experiment/policyrestart.go
+++ b/internal/experiment/policyrestart.go
@@ -29,31 +29,31 @@
 func (c restartRun) run(seed uint64) restartResult {
 	s := c.start(seed)
 	var res restartResult
-	stop := 3 * c.meanDuration
-	back := stop + c.down
+	stopped := 3 * c.meanDuration
+	returned := stopped + c.down
 	openedBefore := [2]int{}
-	for now := time.Duration(0); now < back+6*c.meanDuration; now += simStep {
+	for now := time.Duration(0); now < returned+6*c.meanDuration; now += simStep {
 		switch now {
-		case stop:
+		case stopped:
 			s.setTargets(now, 0)
 			s.endStreams(0)
-		case back:
+		case returned:
 			s.setTargets(now, -1)
 			openedBefore[0] = s.opened[0]
 		}
 		s.step(now)
-		if now < back {
+		if now < returned {
 			continue
 		}
 		share := float64(s.streams) / s.meanDuration.Seconds() / float64(s.targets)
-		switch since := now - back; since {
+		switch since := now - returned; since {
 		case time.Second:
 			res.firstSecond = float64(s.opened[0]-openedBefore[0]) / share
 		case 10 * time.Second:
 			res.tenSeconds = float64(s.opened[0]-openedBefore[0]) / share / 10
 		}
 		if res.recovered == 0 && s.belowAverage(0) <= 100-recoveredShare {
-			res.recovered = now - back
+			res.recovered = now - returned
 		}
 		if now%time.Second == 0 {
 			res.worstImbalance = max(res.worstImbalance, Imbalance(s.totals()[1:]))
--- a/internal/experiment/policysim.go
+++ b/internal/experiment/policysim.go
@@ -15,7 +15,7 @@
 // of several homes. Each home knows only its own flows and its peers' last reports.
 type policyRun struct {
 	policy         balance.Policy
-	slack          float64
+	slack          float64 // of the policy balance.Bounded
 	homes          int
 	targets        int
 	streams        int           // mean number of open streams
@@ -31,7 +31,7 @@
 	pools   []*balance.Pool
 	reports *reports
 	ends    departures
-	next    time.Duration // arrival of the next stream
+	next    time.Duration // time at which the next stream opens
 	opened  []int         // streams opened at each target
 	atFirst int           // of those, streams at their flow's first candidate
 }
--- a/internal/experiment/relay.go
+++ b/internal/experiment/relay.go
@@ -34,8 +34,8 @@
 const (
 	relayServiceNumber = 101
 	relayFlows         = 10000
-	relaySenders       = 3
-	relayBatch         = 64
+	relaySenders       = 3  // goroutines, each with a socket of its own
+	relayBatch         = 64 // packets per system call
 )
 
 // Relay compares the throughput of the data path with one worker, in packets per
@@ -57,12 +57,12 @@
 	go drainSocket(sink)
 	var bare, full []float64
 	for range *runs {
-		for _, relay := range []bool{true, false} {
-			rate, err := relayRun(ctx, relay, *length, *payload)
+		for _, isBare := range []bool{true, false} {
+			rate, err := relayRun(ctx, isBare, *length, *payload)
 			if err != nil {
 				return err
 			}
-			if relay {
+			if isBare {
 				bare = append(bare, rate)
 			} else {
 				full = append(full, rate)
--- a/internal/experiment/reports.go
+++ b/internal/experiment/reports.go
@@ -9,15 +9,15 @@
 // reports holds the last report of each home to each other home.
 type reports struct {
 	targets int
-	ahead   [][][]int // by home, peer and target: streams of the peer minus those of the home at the report
+	excess  [][][]int // by home, peer and target: streams of the peer minus those of the home at the report
 }
 
 func newReports(homes, targets int) *reports {
-	r := &reports{targets: targets, ahead: make([][][]int, homes)}
-	for h := range r.ahead {
-		r.ahead[h] = make([][]int, homes)
-		for q := range r.ahead[h] {
-			r.ahead[h][q] = make([]int, targets)
+	r := &reports{targets: targets, excess: make([][][]int, homes)}
+	for home := range r.excess {
+		r.excess[home] = make([][]int, homes)
+		for peer := range r.excess[home] {
+			r.excess[home][peer] = make([]int, targets)
 		}
 	}
 	return r
@@ -25,17 +25,17 @@
 
 // exchange makes each home report once per interval to each peer, at staggered times.
 func (r *reports) exchange(now, every time.Duration, pools []*balance.Pool) {
-	for h := range pools {
+	for home := range pools {
 		changed := false
-		for q := range pools {
-			phase := every * time.Duration(h*len(pools)+q) / time.Duration(len(pools)*len(pools))
-			if q == h || (now+phase)%every >= 10*time.Millisecond {
+		for peer := range pools {
+			phase := every * time.Duration(home*len(pools)+peer) / time.Duration(len(pools)*len(pools))
+			if peer == home || (now+phase)%every >= 10*time.Millisecond {
 				continue
 			}
 			changed = true
 			for t := range r.targets {
 				id := uint32(t + 1)
-				r.ahead[h][q][t] = pools[q].Used(id, balance.Connection) - pools[h].Used(id, balance.Connection)
+				r.excess[home][peer][t] = pools[peer].Used(id, balance.Connection) - pools[home].Used(id, balance.Connection)
 			}
 		}
 		if !changed {
@@ -43,14 +43,15 @@
 		}
 		for t := range r.targets {
 			sum := 0
-			for q := range pools {
-				sum += r.ahead[h][q][t]
+			for peer := range pools {
+				sum += r.excess[home][peer][t]
 			}
-			pools[h].SetPeerExcess(uint32(t+1), sum)
+			pools[home].SetPeerExcess(uint32(t+1), sum)
 		}
 	}
 }
 
+// totals returns the open streams of each target, summed over the homes.
 func (r *reports) totals(pools []*balance.Pool) []float64 {
 	out := make([]float64, r.targets)
 	for t := range out {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -18,7 +18,7 @@
 type Load struct {
 	Streams  int           // for each stream address
 	SlotUse  float64       // share of the slots that requests keep busy
-	WorkMS   int           // time that a target works on a request
+	WorkMS   int           // milliseconds that a target works on a request
 	Gap      time.Duration // between two frames of a stream
 	Duration time.Duration
 	Chatter  bool // callers send on their streams too
@@ -114,10 +114,10 @@
 type sampler struct {
 	bed      *testbed.Bed
 	done     chan struct{}
-	sum      map[string]float64
-	count    int
-	slots    map[string]map[string]float64
-	excluded map[string]bool // targets
+	sum      map[string]float64            // of the samples of the streams' imbalance, by service
+	count    int                           // of samples
+	slots    map[string]map[string]float64 // sum of the samples of slots in use, by service and target
+	excluded map[string]bool               // targets
 }
 
 func newSampler(b *testbed.Bed, excluded map[string]bool) *sampler {
@@ -125,7 +125,7 @@
 }
 
 const (
-	sampleEvery = 200 * time.Millisecond
+	sampleEvery = 200 * time.Millisecond // between two samples
 	sampleTail  = 500 * time.Millisecond // before the end of the load, without samples
 )
 
@@ -172,10 +172,11 @@
 	}
 }
 
-// meter measures the increase of the balancers' counters and processor time.
+// meter measures the increase of the balancers' counters and processor time, and of the
+// store's calls.
 type meter struct {
 	bed              *testbed.Bed
-	at               time.Time
+	began            time.Time
 	countersBefore   map[string]map[string]float64
 	pidBefore        map[string]int
 	cpuBefore        map[string]float64
@@ -187,7 +188,7 @@
 }
 
 func (m *meter) begin() error {
-	m.at = time.Now()
+	m.began = time.Now()
 	for _, x := range m.bed.Balancers {
 		c, err := m.bed.Metrics(x)
 		if err != nil {
@@ -204,7 +205,7 @@
 // end adds the increases since begin to o. Balancers that were replaced count from
 // the start of their process.
 func (m *meter) end(o *Outcome) error {
-	secs := time.Since(m.at).Seconds()
+	secs := time.Since(m.began).Seconds()
 	vms, control, cpu := 0.0, 0.0, 0.0
 	for _, x := range m.bed.Balancers {
 		if !x.Process.Running() {
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -18,12 +18,13 @@
 	Name     string
 	Planned  bool // consists only of operators' actions, so that no flow may break
 	Duration time.Duration
-	SlotUse  float64
-	Chatter  bool // callers send on their streams too
+	SlotUse  float64 // share of the slots that requests keep busy
+	Chatter  bool    // callers send on their streams too
 	// Excluded lists the indexes of the first service's targets that the scenario
 	// itself takes out of use. They do not count for the imbalance.
 	Excluded []int
-	Act      func(*testbed.Bed, *Outcome) error
+	// Act injects the events, after the load has started. It may be nil.
+	Act func(*testbed.Bed, *Outcome) error
 }
 
 // Scenarios returns all scenarios.
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// storeOutage makes the store unreachable, replaces a balancer meanwhile, and
-// edits the catalogue as soon as the store is back.
+// storeOutage makes the store unavailable, replaces a balancer meanwhile, and
+// edits the catalogue as soon as the store is available again.
 func storeOutage(b *testbed.Bed, o *Outcome) error {
 	if err := b.SetStore(platform.Faults{Down: true}); err != nil {
 		return err
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -8,9 +8,9 @@
 )
 
 // Table returns outcomes as text, one block for each.
-func Table(os []*Outcome) string {
+func Table(outcomes []*Outcome) string {
 	var s strings.Builder
-	for _, o := range os {
+	for _, o := range outcomes {
 		c := o.Callers
 		row := func(name, format string, args ...any) {
 			_, _ = fmt.Fprintf(&s, "  %-28s %s\n", name, fmt.Sprintf(format, args...))
