--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -33,15 +33,15 @@
 	Services []*catalogue.Service
 }
 
-// Addresses of the stand-ins, and ports and defaults of the balancers.
+// Addresses of the stand-ins, ports and defaults of the balancers, and time limits.
 const (
 	FabricControl    = "127.0.9.1:8080"
 	TargetControl    = "127.0.9.2:8080"
 	Platform         = "127.0.9.3:8500"
 	ProxyControl     = "127.0.9.4:8080"
-	callerAddr       = "127.0.9.%d:6081"
-	storePrefix      = "rosedale"
-	startTimeout     = 40 * time.Second
+	callerAddr       = "127.0.9.%d:6081" // format, with the last byte of the address
+	storePrefix      = "rosedale"        // of all keys in the store
+	startTimeout     = 40 * time.Second  // for the stand-ins or balancers to become ready, or a store write to succeed
 	certValidity     = 24 * time.Hour
 	dataPort         = 6081
 	controlPort      = 7000
@@ -53,13 +53,13 @@
 // Bed is a running deployment.
 type Bed struct {
 	Config
-	Dir       string
+	Dir       string // folder of settings, keys, logs and results
 	Balancers []*Balancer
 	Store     *store.Consul
 	mu        sync.Mutex
 	procs     []*Process
 	ca        keys.Pair
-	callers   int
+	callers   int    // number of processes of the caller stand-in started so far
 	release   func() // releases the machine-wide lock
 	// ReadyAfter is the time from the start of the balancers until all were ready.
 	ReadyAfter time.Duration
@@ -76,7 +76,8 @@
 // Admin returns the address of the balancer's admin endpoint.
 func (b *Balancer) Admin() string { return fmt.Sprintf("%s:%d", b.IP, adminPort) }
 
-// New starts a deployment and waits until every balancer is ready.
+// New starts a deployment and waits until every balancer is ready. Before, it waits until no
+// other deployment runs on this machine.
 func New(c Config) (*Bed, error) {
 	if c.BalancerCount == 0 {
 		c.BalancerCount = defaultBalancers
@@ -160,7 +161,8 @@
 	return out
 }
 
-// secondByte returns the second byte of the addresses in a data centre.
+// secondByte returns the second byte of the addresses in a data centre, or 0 if it has no
+// target.
 func (b *Bed) secondByte(dc string) byte {
 	for _, s := range b.Services {
 		for _, t := range s.Targets {
@@ -172,7 +174,7 @@
 	return 0
 }
 
-// planBalancers distributes the balancers over the data centres.
+// planBalancers distributes the balancers over the data centres in turn.
 func (b *Bed) planBalancers() {
 	dcs := b.DataCenters()
 	for i := range b.BalancerCount {
--- a/internal/testbed/http.go
+++ b/internal/testbed/http.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	retryInterval = 50 * time.Millisecond
-	httpTimeout   = 3 * time.Second
+	retryInterval = 50 * time.Millisecond // between two calls by waitFor
+	httpTimeout   = 3 * time.Second       // for one request
 )
 
 var client = &http.Client{Timeout: httpTimeout}
--- a/internal/testbed/operations.go
+++ b/internal/testbed/operations.go
@@ -98,12 +98,13 @@
 // Load is a running process of the caller stand-in.
 type Load struct {
 	proc *Process
-	out  string // file for the result
-	End  time.Time
+	out  string    // file for the result
+	End  time.Time // when the callers stop
 }
 
 // StartLoad starts a process of the caller stand-in with the given -streams and
-// -requests flags for the duration d.
+// -requests flags for the duration d. The gap is the time between two frames of a
+// stream; with chatter, callers send a line on each stream every second.
 func (b *Bed) StartLoad(streams, requests string, d, gap time.Duration, chatter bool) (*Load, error) {
 	b.callers++
 	name := fmt.Sprintf("caller-%d", b.callers)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -20,8 +20,8 @@
 	Started time.Time
 	log     string // file with its output
 	cmd     *exec.Cmd
-	done    chan struct{}
-	err     error
+	done    chan struct{} // closed when the process has ended
+	err     error         // how it ended, valid once done is closed
 }
 
 // start starts a program, whose output is appended to a log file in the bed's folder.
