--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -70,7 +70,7 @@
 
 // platformNames lists names that the users' platform defines. Only the folder
 // platform and the stand-ins may contain them, so that a change of the platform
-// affects one folder.
+// affects only these.
 var platformNames = []string{"kv-txn", "kv-watch", "kv-range", "kv-lease", "coldLeftMs", "heartbeatIntervalMs", "ROSEDALE_BOOT", "op/config", "servers/", "datagramAddr", "configApplyMs", "Endpoint-Id"}
 
 func TestPlatformIsMetInOneFolder(t *testing.T) {
@@ -158,7 +158,7 @@
 	}
 	for _, m := range direct.Mechanisms() {
 		if !strings.Contains(page, "`"+m.String()+"`") {
-			t.Errorf("mechanism %s is not documented", m)
+			t.Errorf("feature switch %s is not documented", m)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	return out
 }
 
-// Files stay small enough to be read at one go.
+// A file of more than maxLines lines is too long to be read without a break.
 func TestFilesStaySmall(t *testing.T) {
 	const maxLines = 320
 	_ = filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
