--- a/test/daemon_test.go
+++ b/test/daemon_test.go
@@ -10,14 +10,16 @@
 	"rosedale.dev/rosedale/internal/testbed"
 )
 
+// waitLimit is the time after which eventually fails.
 const waitLimit = 10 * time.Second
 
-// eventually waits until f returns true and fails the test after waitLimit.
+// eventually waits until f returns true and fails the test after waitLimit. It names the
+// awaited condition by what.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !f(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not reached: ", what)
+			t.Fatal("condition not met in time: ", what)
 		}
 	}
 }
--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -23,8 +23,8 @@
 		t.Error(v)
 	}
 	if t.Failed() {
-		for _, flow := range o.Traces {
-			t.Log(flow)
+		for _, trace := range o.Traces {
+			t.Log(trace)
 		}
 	}
 	if o.Callers.StreamsOpened == 0 || o.Callers.Answered == 0 {
