--- a/test/soak/backups_test.go
+++ b/test/soak/backups_test.go
@@ -12,8 +12,8 @@
 	// backupsKept are kept.
 	backupInterval = 500 * time.Millisecond
 	backupsKept    = 10
-	// heartbeat is the time within which every target writes its entry again.
-	heartbeat = 1200 * time.Millisecond
+	// maxHeartbeatInterval is the time within which every target writes its entry again.
+	maxHeartbeatInterval = 1200 * time.Millisecond
 )
 
 // restoreBackups restores the store from an older backup every few seconds, in parallel
@@ -36,10 +36,10 @@
 }
 
 // restoreBackup restores the store from a backup, which loses later writes. The operator
-// and the running targets repeat theirs within a heartbeat.
+// and the running targets write theirs again within maxHeartbeatInterval.
 func (w *world) restoreBackup(r *rand.Rand, b direct.Backup) {
 	w.mu.Lock()
-	w.faultCounts["store from an older copy"]++
+	w.faultCounts["store restored from an older copy"]++
 	w.store.FailAll(direct.Busy)
 	w.mu.Unlock()
 	time.Sleep(time.Duration(r.IntN(1500)) * time.Millisecond)
@@ -58,9 +58,9 @@
 	}
 }
 
-// rewriteLater calls write after a random time of at most a heartbeat.
+// rewriteLater calls write after a random time of at most maxHeartbeatInterval.
 func (w *world) rewriteLater(r *rand.Rand, write func()) {
-	time.AfterFunc(time.Duration(r.Int64N(int64(heartbeat))), func() {
+	time.AfterFunc(time.Duration(r.Int64N(int64(maxHeartbeatInterval))), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		write()
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, x := range w.targets {
 		if n := x.Opened.Load() - before[x]; n > 0 && (x.ended.Load() || !x.draining.IsZero()) {
-			w.t.Errorf("target %s, draining or gone, got %d new flows", x.Name(), n)
+			w.t.Errorf("target %s, which drains or has ended, got %d new flows", x.Name(), n)
 		}
 		if n := x.Opened.Load() - before[x]; n > 0 && evacuated && x.dataCenter == "b" {
 			w.t.Errorf("target %s of an evacuated data centre got %d new flows", x.Name(), n)
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -41,7 +41,7 @@
 	{"store busy", func(w *world, _ *rand.Rand) func() { return w.failStore(direct.Busy) }},
 	{"store silent", func(w *world, _ *rand.Rand) func() { return w.failStore(direct.Silent) }},
 	{"store loses answers", func(w *world, _ *rand.Rand) func() { return w.failStore(direct.Lost) }},
-	{"store forgets", func(w *world, _ *rand.Rand) func() { w.store.DropHistory(); return nil }},
+	{"store drops its history", func(w *world, _ *rand.Rand) func() { w.store.DropHistory(); return nil }},
 	{"link delayed", func(w *world, r *rand.Rand) func() {
 		n := w.nodes[r.IntN(len(w.nodes))]
 		n.relay.Delay(time.Duration(r.IntN(500)) * time.Millisecond)
--- a/test/soak/latecopies_test.go
+++ b/test/soak/latecopies_test.go
@@ -13,8 +13,8 @@
 	maxCopyDelay = 3 * time.Second
 )
 
-// lateCopies returns a function for Caller.Late that delays copies of some openings at
-// random and sends them through any balancer.
+// lateCopies returns a function for Caller.LateCopy that decides at random which openings
+// are followed by a copy, after which delay and through which balancer.
 func (w *world) lateCopies(rng *rand.Rand) func() (time.Duration, netip.AddrPort, bool) {
 	return func() (time.Duration, netip.AddrPort, bool) {
 		if rng.IntN(lateEvery) > 0 {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -19,7 +19,8 @@
 	2,
 	2741705829797151432,
 	// A signal 1 ms after the start of a process ended it, and it was not started
-	// again. 4116564383361792273 and 12839547385569337787 failed in the same way.
+	// again. The seeds 4116564383361792273 and 12839547385569337787, which are not
+	// listed, failed in the same way.
 	12394035969135028012,
 	15839160413560902178,
 	3379556818896069025,
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -39,32 +39,33 @@
 	mu      sync.Mutex
 	nodes   []*node
 	targets []*tracked
-	version int
+	version int  // of the desired state
 	extra   bool // the extra route is in the desired state
 	// evacuated is set while data centre b is evacuated.
 	evacuated   bool
 	faultCounts map[string]int
-	stopping    atomic.Bool
-	starts      atomic.Int64
+	stopping    atomic.Bool  // set when callers and readiness polls have to stop
+	starts      atomic.Int64 // of balancers, counted only with SOAK_OLD
 	callers     sync.WaitGroup
 	ran         direct.RunLog
-	callerOf    sync.Map // callers' addresses (netip.AddrPort) by request body
-	traced      atomic.Int64
+	callerOf    sync.Map     // callers' addresses (netip.AddrPort) by request body
+	traced      atomic.Int64 // flows whose log lines were requested
 
+	// Requests sent and answered, and requests and openings that failed.
 	sent, answered, lost atomic.Int64
 }
 
 // node is a balancer's process.
 type node struct {
 	addr    netip.Addr
-	boot    string
-	relay   *direct.Relay
+	boot    string        // path of the settings file, to which .log is appended for the log
+	relay   *direct.Relay // between the balancer and the store
 	cmd     *exec.Cmd
 	ended   chan struct{} // closed when the process has ended
 	started time.Time
 	out     *os.File
-	ready   atomic.Bool
-	down    bool // killed or paused by a fault
+	ready   atomic.Bool // by pollReadiness
+	down    bool        // killed or paused by a fault
 }
 
 // tracked is a target and the faults and changes applied to it.
@@ -72,7 +73,7 @@
 	*direct.Target
 	service    string
 	dataCenter string
-	draining   time.Time
+	draining   time.Time   // when it began to drain, or zero
 	ended      atomic.Bool // crashed, silent or removed, so that its flows may be reset
 }
 
