--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -142,6 +142,7 @@
 	return []step{{stepDeliver, i, m.index}}
 }
 
+// apply changes the state by a step.
 func (w *world) apply(s step) {
 	switch s.kind {
 	case stepTick:
@@ -176,6 +177,8 @@
 	}
 }
 
+// deliver hands a message to its receiver. Index i is that of the balancer which the fabric
+// chose or to which the message is addressed.
 func (w *world) deliver(i int, m message) {
 	switch m.leg {
 	case balancerToTarget:
@@ -187,6 +190,7 @@
 	}
 }
 
+// tick advances the clock of balancer i by tickStep and lets its router act on timeouts.
 func (w *world) tick(i int) {
 	b := w.balancers[i]
 	b.ticks++
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -51,7 +51,7 @@
 }
 
 // The checker has to find a known fault. Balancers that know no peers break
-// flows: one of them never sees the acceptance that another delivered,
+// flows: one of them never sees the acceptance (SYN-ACK) that another delivered,
 // considers the target dead and resets a connection that the caller uses.
 func TestBrokenVariantIsCaught(t *testing.T) {
 	r := Explore(Bounds{
--- a/internal/model/random_test.go
+++ b/internal/model/random_test.go
@@ -44,7 +44,8 @@
 	rapid.Check(t, randomRun)
 }
 
-// regressions lists rapid seeds whose single run violated a property, with the fault.
+// regressions lists rapid seeds whose single run violated a property, with the fault. An
+// acceptance is a target's SYN-ACK.
 var regressions = []uint64{
 	3284,      // one request lost between home and target made its flow count as silent
 	50179,     // the reset for a rejected acceptance overtook another copy of its opening
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -58,9 +58,9 @@
 func (b Bounds) serving(n int) int { return b.Balancers - b.Joins + min(n, b.Joins) }
 
 const (
-	tickStep = 260 * time.Millisecond
-	deadline = 2 * time.Second
-	service  = 101
+	tickStep = 260 * time.Millisecond // time between two ticks of a router
+	deadline = 2 * time.Second        // for an opening that waits for a slot
+	service  = 101                    // number of the only service
 	// maxFlows leaves each shard of the flow table room for far more entries than
 	// a run has flows, which may all be in few shards.
 	maxFlows = 1 << 16
@@ -158,7 +158,7 @@
 
 func (w *world) send(m message) { w.network = append(w.network, m) }
 
-// deliverToBalancer hands a packet to balancer i.
+// deliverToBalancer hands a packet or handover to balancer i.
 func (w *world) deliverToBalancer(i int, m message) {
 	b := w.balancers[i]
 	if b.dead {
