--- a/Makefile
+++ b/Makefile
@@ -9,8 +9,8 @@
 	bin/standin demo
 	bin/standin edge-demo
 
-# Tests of the folder test that KNOWN-RED.txt names are passed over, and elsewhere those
-# that it calls always red; CI prints them.
+# KNOWN-RED.txt lists tests that are known to fail; CI prints it. Of these, make test skips
+# those of the directory test, and those under internal that are marked "always red".
 RED := $(shell sed -n 's/^\(Test[A-Za-z]*\) (test).*/\1/p' KNOWN-RED.txt | paste -sd'|')
 RED_UNIT := $(shell sed -n 's/^\(Test[A-Za-z]*\) (internal[a-z/]*) | always red.*/\1/p' KNOWN-RED.txt | paste -sd'|')
 
@@ -32,7 +32,8 @@
 capacity: build
 	bin/standin capacity
 
-# Harms real balancers at random; SEEDS fresh seeds beside those that ever failed.
+# Injects random faults into balancers that run as real processes, with the regression
+# seeds of test/soak and SEEDS new random ones.
 SEEDS ?= 50
 soak: build
 	SOAK_SEEDS=$(SEEDS) go test -count=1 -parallel 12 -timeout 30m -v ./test/soak
