--- a/internal/edge/read.go
+++ b/internal/edge/read.go
@@ -45,7 +45,7 @@
 	if !c.replica.Loaded() {
 		return c.firstCopy.MayList(now)
 	}
-	place := c.firstCopy.Place(now, replica.Place{Centre: c.fleet.DataCenterRank(), Rank: c.fleet.Rank()})
+	place := c.firstCopy.Place(now, replica.Place{DataCenterRank: c.fleet.DataCenterRank(), Rank: c.fleet.Rank()})
 	return c.reader.Decide(place, c.replica.Age(now), c.hasActiveReader(now))
 }
 
--- a/internal/replica/erasimulation_test.go
+++ b/internal/replica/erasimulation_test.go
@@ -56,7 +56,7 @@
 func (w *eraSimulation) tick(m *member) {
 	w.after(100*time.Millisecond, func() { w.tick(m) })
 	activeReader := w.now-m.readerHeard < time.Second && m.readerHeard > 0
-	reads := m.reader.Decide(Place{Centre: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), activeReader)
+	reads := m.reader.Decide(Place{DataCenterRank: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), activeReader)
 	if reads && w.now >= m.nextRead {
 		w.read(m)
 	}
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -41,12 +41,12 @@
 
 // Place is a balancer's position in the order of readers.
 type Place struct {
-	Centre int // number of data centres before this one
-	Rank   int // number of balancers before this one in its data centre
+	DataCenterRank int // number of data centres before this one
+	Rank           int // number of balancers before this one in its data centre
 }
 
 // LastPlace is the end of the order.
-var LastPlace = Place{Centre: lastCentre, Rank: lastRank}
+var LastPlace = Place{DataCenterRank: lastCentre, Rank: lastRank}
 
 // Decide returns whether to read now. age is the age of the replica. hasActiveReader
 // tells whether a balancer earlier in the order reads the store successfully.
@@ -73,7 +73,7 @@
 // maxAge returns the age of the replica above which a balancer at this place reads the
 // store.
 func (p Place) maxAge() time.Duration {
-	return takeoverAge + time.Duration(min(p.Centre, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
+	return takeoverAge + time.Duration(min(p.DataCenterRank, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
 }
 
 // Done records the outcome of a read and returns the pause before the next one. The pause
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -255,10 +255,10 @@
 	}{
 		{"first of all", Place{}, 0, false, false, true},
 		{"not first, fresh replica", Place{Rank: 1}, 400 * time.Millisecond, true, false, false},
-		{"not first, slow store", Place{Centre: 1}, 1200 * time.Millisecond, false, false, false},
-		{"first of the second data centre, old replica", Place{Centre: 1}, 1450 * time.Millisecond, false, false, true},
+		{"not first, slow store", Place{DataCenterRank: 1}, 1200 * time.Millisecond, false, false, false},
+		{"first of the second data centre, old replica", Place{DataCenterRank: 1}, 1450 * time.Millisecond, false, false, true},
 		{"second in rank waits longer", Place{Rank: 1}, 1450 * time.Millisecond, false, false, false},
-		{"last in rank, old replica", Place{Centre: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
+		{"last in rank, old replica", Place{DataCenterRank: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
 		{"keeps reading while no other balancer reads", Place{Rank: 2}, 100 * time.Millisecond, false, true, true},
 		{"stops when an earlier balancer reads", Place{Rank: 2}, 100 * time.Millisecond, true, true, false},
 	} {
