--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -74,8 +74,8 @@
 
 // peerState is the state of another balancer according to its heartbeats.
 type peerState struct {
-	last      peer.Heartbeat
-	lastHeard time.Duration
+	last         peer.Heartbeat
+	lastReceived time.Duration
 }
 
 func newControl(e *Edge) (*control, error) {
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -54,5 +54,5 @@
 	if n == nil {
 		return now < lostAfter
 	}
-	return n.last.Leaving || now-n.lastHeard < lostAfter
+	return n.last.Leaving || now-n.lastReceived < lostAfter
 }
--- a/internal/edge/outnumbered_test.go
+++ b/internal/edge/outnumbered_test.go
@@ -19,7 +19,7 @@
 	now := time.Duration(0)
 	sendHeartbeats := func(leaving bool, vms ...string) {
 		for _, vm := range vms {
-			c.peers[vm] = &peerState{lastHeard: now, last: peer.Heartbeat{From: vm, Leaving: leaving}}
+			c.peers[vm] = &peerState{lastReceived: now, last: peer.Heartbeat{From: vm, Leaving: leaving}}
 		}
 	}
 	want := func(what string, ready bool) {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -58,14 +58,14 @@
 	if n != nil && h.Leaving && !n.last.Leaving {
 		c.log.Info("balancer is stopping", zap.String("peer", h.From))
 	}
-	if n == nil || now-n.lastHeard > peerSilent {
+	if n == nil || now-n.lastReceived > peerSilent {
 		c.log.Info("heartbeat from a new or returned balancer", zap.String("peer", h.From), zap.Stringer("position", h.Revision()), zap.Int64("version", h.Version))
 	}
 	if n == nil {
 		n = &peerState{}
 		c.peers[h.From] = n
 	}
-	n.last, n.lastHeard = h, now
+	n.last, n.lastReceived = h, now
 	c.settleFromPeer(now, h)
 	if c.isBehind(now, h) && !c.reader.Succeeding() {
 		c.fetchChanges(ctx, h.Control, h.Era, h.History)
@@ -117,7 +117,7 @@
 
 // isActive reports whether a balancer sends heartbeats and is not stopping.
 func (n *peerState) isActive(now time.Duration) bool {
-	return now-n.lastHeard <= peerSilent && !n.last.Leaving
+	return now-n.lastReceived <= peerSilent && !n.last.Leaving
 }
 
 // hasActiveReader reports whether a balancer earlier in the order of readers reads the
@@ -126,7 +126,7 @@
 // that have been silent for longer than peerRetention.
 func (c *control) hasActiveReader(now time.Duration) bool {
 	for name, n := range c.peers {
-		if now-n.lastHeard > peerRetention {
+		if now-n.lastReceived > peerRetention {
 			delete(c.peers, name)
 			continue
 		}
@@ -142,7 +142,7 @@
 func (c *control) peerLoads(now time.Duration) map[direct.TargetID]direct.Load {
 	out := map[direct.TargetID]direct.Load{}
 	for _, n := range c.peers {
-		if now-n.lastHeard > loadRetention {
+		if now-n.lastReceived > loadRetention {
 			continue
 		}
 		for _, u := range n.last.Loads {
@@ -170,7 +170,7 @@
 			if !c.edge.forward.SameStart(id, n.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(o.Outcome().Decayed(now - n.lastHeard))
+			out[id] = out[id].Plus(o.Outcome().Decayed(now - n.lastReceived))
 		}
 	}
 	return out
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -19,7 +19,7 @@
 		era  int64
 		want bool
 	}{{0, false}, {1, true}, {2, true}} {
-		c.peers["a0"] = &peerState{last: peer.Heartbeat{From: "a0", Era: x.era, Position: 30, Reading: true}, lastHeard: c.now()}
+		c.peers["a0"] = &peerState{last: peer.Heartbeat{From: "a0", Era: x.era, Position: 30, Reading: true}, lastReceived: c.now()}
 		if got := c.hasActiveReader(c.now()); got != x.want {
 			t.Errorf("reader of era %d counts for a replica of era 1: %v, want %v", x.era, got, x.want)
 		}
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -55,7 +55,7 @@
 		Era: c.replica.Position().Era, Position: c.replica.Position().Number, Settling: c.settling.Left(now), Age: c.replica.Age(now), Reading: c.reader.Reading(), StoreLost: c.storeLost,
 	}
 	for name, n := range c.peers {
-		s.Peers = append(s.Peers, Peer{name, n.last.DataCenter, now - n.lastHeard, n.last.Version, n.last.Era, n.last.Position, n.last.Reading})
+		s.Peers = append(s.Peers, Peer{name, n.last.DataCenter, now - n.lastReceived, n.last.Version, n.last.Era, n.last.Position, n.last.Reading})
 	}
 	slices.SortFunc(s.Peers, func(a, b Peer) int { return cmp.Compare(a.VM, b.VM) })
 	c.edge.mu.Lock()
--- a/internal/replica/erasimulation_test.go
+++ b/internal/replica/erasimulation_test.go
@@ -31,32 +31,32 @@
 
 type member struct {
 	*vm
-	copy        *Replica
-	reader      Reader
-	readerHeard time.Duration // when a reader's heartbeat last arrived
-	fetching    bool          // a copy is being fetched
-	nextRead    time.Duration // time of the next read
-	learntAt    time.Duration // when the balancer learnt of the new era
+	replica           *Replica
+	reader            Reader
+	readerHeartbeatAt time.Duration // when a reader's heartbeat last arrived
+	fetching          bool          // a copy is being fetched
+	nextRead          time.Duration // time of the next read
+	learntAt          time.Duration // when the balancer learnt of the new era
 }
 
 func newEraSimulation(n int) *eraSimulation {
 	w := &eraSimulation{startSimulation: startSimulation{size: n}, era: 1}
 	for i := range n {
-		m := &member{vm: &vm{id: i, link: link{bits: vmLink}}, copy: New(significant)}
-		m.copy.Replace(nil, revision.Revision{Era: 1, Number: 100}, 0)
+		m := &member{vm: &vm{id: i, link: link{bits: vmLink}}, replica: New(significant)}
+		m.replica.Replace(nil, revision.Revision{Era: 1, Number: 100}, 0)
 		w.fleet = append(w.fleet, m)
 		w.at(time.Duration(i%100)*time.Millisecond, func() { w.tick(m) })
 	}
 	return w
 }
 
-func (w *eraSimulation) centre(m *member) int { return m.id % centres }
-func (w *eraSimulation) rank(m *member) int   { return m.id / centres }
+func (w *eraSimulation) dataCenter(m *member) int { return m.id % dataCenters }
+func (w *eraSimulation) rank(m *member) int       { return m.id / dataCenters }
 
 func (w *eraSimulation) tick(m *member) {
 	w.after(100*time.Millisecond, func() { w.tick(m) })
-	activeReader := w.now-m.readerHeard < time.Second && m.readerHeard > 0
-	reads := m.reader.Decide(Place{DataCenterRank: w.centre(m), Rank: w.rank(m)}, m.copy.Age(w.now), activeReader)
+	activeReader := w.now-m.readerHeartbeatAt < time.Second && m.readerHeartbeatAt > 0
+	reads := m.reader.Decide(Place{DataCenterRank: w.dataCenter(m), Rank: w.rank(m)}, m.replica.Age(w.now), activeReader)
 	if reads && w.now >= m.nextRead {
 		w.read(m)
 	}
@@ -74,8 +74,8 @@
 	}
 	w.reads++
 	startedAt, now := w.now, revision.Revision{Era: w.era, Number: 50 + int64(w.now/time.Millisecond)}
-	if now.Era == m.copy.Position().Era {
-		w.after(storeDelay, func() { m.copy.Apply(nil, now, startedAt) })
+	if now.Era == m.replica.Position().Era {
+		w.after(storeDelay, func() { m.replica.Apply(nil, now, startedAt) })
 		return
 	}
 	w.listings++
@@ -83,8 +83,8 @@
 }
 
 func (w *eraSimulation) replaceCopy(m *member, items []Item, at revision.Revision, proven time.Duration) {
-	m.copy.Replace(items, at, proven)
-	if m.learntAt == 0 && m.copy.Position().Era == w.era && w.era > 1 {
+	m.replica.Replace(items, at, proven)
+	if m.learntAt == 0 && m.replica.Position().Era == w.era && w.era > 1 {
 		m.learntAt = w.now
 	}
 }
@@ -92,18 +92,18 @@
 // sendHeartbeat sends a heartbeat to the own data centre. A reader's heartbeat also goes
 // to the first balancer of each other data centre.
 func (w *eraSimulation) sendHeartbeat(m *member) {
-	c := m.copy
+	c := m.replica
 	at, last, history, proven, reading := c.Position(), c.LastChange(), c.History(), w.now-c.Age(w.now), m.reader.Succeeding()
 	for _, o := range w.fleet {
-		near := w.centre(o) == w.centre(m)
+		near := w.dataCenter(o) == w.dataCenter(m)
 		if o == m || !near && (!reading || w.rank(o) > 0) {
 			continue
 		}
 		w.after(heartbeatDelay, func() {
-			if reading && at.Era >= o.copy.Position().Era && m.id < o.id {
-				o.readerHeard = w.now
+			if reading && at.Era >= o.replica.Position().Era && m.id < o.id {
+				o.readerHeartbeatAt = w.now
 			}
-			if o.copy.Confirm(at, last, history, proven) == Behind && !o.fetching && !o.reader.Succeeding() {
+			if o.replica.Confirm(at, last, history, proven) == Behind && !o.fetching && !o.reader.Succeeding() {
 				w.fetch(o, m)
 			}
 		})
@@ -112,7 +112,7 @@
 
 func (w *eraSimulation) fetch(m, from *member) {
 	m.fetching = true
-	at, proven := from.copy.Position(), w.now-from.copy.Age(w.now)
+	at, proven := from.replica.Position(), w.now-from.replica.Age(w.now)
 	w.at(from.link.send(w.now, w.bytes(copyBytes))+handlingTime, func() {
 		m.fetching = false
 		w.replaceCopy(m, nil, at, proven)
--- a/internal/replica/firstcopy_test.go
+++ b/internal/replica/firstcopy_test.go
@@ -15,7 +15,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			w := newStartSimulation(n, 1)
 			w.run()
-			if limit := centres * 3; w.listings > limit {
+			if limit := dataCenters * 3; w.listings > limit {
 				t.Errorf("%d listings, want at most %d for any fleet size", w.listings, limit)
 			}
 			if delay := w.delay(0.9); delay > 150*time.Millisecond {
@@ -37,7 +37,7 @@
 // refuses connections nor answers. Balancers that asked it first must not wait for it.
 func TestSourceWithoutPower(t *testing.T) {
 	w := newStartSimulation(300, 2)
-	for c := range centres {
+	for c := range dataCenters {
 		w.vms[c].start = 800 * time.Millisecond
 		w.vms[c].powered = 700 * time.Millisecond
 	}
@@ -51,12 +51,12 @@
 // all at the same moment.
 func TestNoSourceLeft(t *testing.T) {
 	w := newStartSimulation(300, 3)
-	for i := range centres * 3 {
+	for i := range dataCenters * 3 {
 		w.vms[i].start = time.Hour
 		w.vms[i].powered = time.Hour
 	}
 	w.run()
-	others := w.vms[centres*3:]
+	others := w.vms[dataCenters*3:]
 	if w.listings != len(others) {
 		t.Errorf("%d listings by %d balancers", w.listings, len(others))
 	}
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -11,11 +11,11 @@
 	// takeoverAge is the age of the replica at which the next balancer in rank starts to
 	// read.
 	takeoverAge = 1300 * time.Millisecond
-	// centreStep is added for each data centre that precedes this one, so that only one
-	// balancer takes over when the reader is lost.
-	centreStep = 100 * time.Millisecond
-	// lastCentre is the highest data centre position that is distinguished.
-	lastCentre = 4
+	// dataCenterStep is added for each data centre that ranks before this one, so that only
+	// one balancer takes over when the reader is lost.
+	dataCenterStep = 100 * time.Millisecond
+	// lastDataCenterRank is the highest rank of a data centre that is distinguished.
+	lastDataCenterRank = 4
 	// rankStep is added for each rank in the data centre.
 	rankStep = 250 * time.Millisecond
 	// lastRank is the highest rank that is distinguished. It bounds the age of the
@@ -39,14 +39,14 @@
 // Reading reports whether the last decision was to read the store.
 func (r *Reader) Reading() bool { return r.reading }
 
-// Place is a balancer's position in the order of readers.
+// Place is a balancer's place in the order of readers, by its ranks; see peer.Fleet.
 type Place struct {
-	DataCenterRank int // number of data centres before this one
-	Rank           int // number of balancers before this one in its data centre
+	DataCenterRank int // number of data centres that rank before this one
+	Rank           int // number of balancers of its data centre that rank before this one
 }
 
 // LastPlace is the end of the order.
-var LastPlace = Place{DataCenterRank: lastCentre, Rank: lastRank}
+var LastPlace = Place{DataCenterRank: lastDataCenterRank, Rank: lastRank}
 
 // Decide returns whether to read now. age is the age of the replica. hasActiveReader
 // tells whether a balancer earlier in the order reads the store successfully.
@@ -73,7 +73,7 @@
 // maxAge returns the age of the replica above which a balancer at this place reads the
 // store.
 func (p Place) maxAge() time.Duration {
-	return takeoverAge + time.Duration(min(p.DataCenterRank, lastCentre))*centreStep + time.Duration(min(p.Rank, lastRank))*rankStep
+	return takeoverAge + time.Duration(min(p.DataCenterRank, lastDataCenterRank))*dataCenterStep + time.Duration(min(p.Rank, lastRank))*rankStep
 }
 
 // Done records the outcome of a read and returns the pause before the next one. The pause
--- a/internal/replica/startsimulation_test.go
+++ b/internal/replica/startsimulation_test.go
@@ -19,7 +19,7 @@
 	startSpread  = 300 * time.Millisecond // all VMs start within this time
 	dialLimit    = 250 * time.Millisecond // timeout for connecting to a source
 	waitLimit    = 300 * time.Millisecond // how long a source without a copy delays a request
-	centres      = 5
+	dataCenters  = 5
 	targetsPerVM = 2 // number of targets for each VM
 )
 
@@ -66,7 +66,7 @@
 	for i := range n {
 		start := time.Duration(rng.Float64() * float64(startSpread))
 		v := &vm{id: i, start: start, powered: start - 100*time.Millisecond, link: link{bits: vmLink}, first: NewFirstCopy(addr(i), rng.Float64())}
-		if i < centres*3 {
+		if i < dataCenters*3 {
 			v.start /= 4 // a fast VM starts sooner
 		}
 		w.vms = append(w.vms, v)
@@ -82,15 +82,15 @@
 	if w.withoutSources {
 		return nil
 	}
-	c := v.id % centres
-	return []netip.AddrPort{addr(c), addr(c + centres), addr(c + 2*centres)}
+	c := v.id % dataCenters
+	return []netip.AddrPort{addr(c), addr(c + dataCenters), addr(c + 2*dataCenters)}
 }
 
 func (w *startSimulation) run() {
 	for _, v := range w.vms {
 		w.at(v.start, func() {
 			w.after(storeDelay, func() {
-				v.first.SetSources(w.now, w.sources(v), w.size/centres)
+				v.first.SetSources(w.now, w.sources(v), w.size/dataCenters)
 				w.askSources(v)
 				w.listIfDue(v)
 			})
