--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -22,7 +22,7 @@
 // the balancer's replica never contained the registration, so no change reports its
 // removal. The lease would still seem valid for 20 s, and without a registration no peer
 // sends heartbeats.
-func TestLeaseAfterTheStoreCameBack(t *testing.T) {
+func TestLeaseAfterStoreRestore(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		lease          lease
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -73,7 +73,7 @@
 
 // The store compacts its history between two reads. Balancers must list it again and
 // learn of the missed changes.
-func TestHistoryIsForgotten(t *testing.T) {
+func TestHistoryIsCompacted(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2)
 	d.store.FailAll(direct.Busy)
--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -10,7 +10,7 @@
 // The store is restored from an older copy, with lower revisions. From then on its
 // listing is in force, including changes with revisions that the earlier era had used
 // already.
-func TestStoreComesBackFromOlderCopy(t *testing.T) {
+func TestReplaceAfterStoreRestore(t *testing.T) {
 	r := New(significant)
 	first, second := revision.Revision{Era: 1, Number: 36}, revision.Revision{Era: 2, Number: 30}
 	r.Replace([]Item{put("a", "1", 3), put("b", "1", 35), put("c", "1", 36)}, first, 0)
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -126,9 +126,9 @@
 // The store compacts its history, registrations expire and return, some balancers list
 // the store while others follow changes, and the store is restored from older copies
 // while answers of earlier eras are in transit. A replica must contain exactly what the
-// store contained at the position up to which it claims to be complete. A balancer that
+// store contained at the replica's position. A balancer that
 // lacks a registration resets the flows of a live target.
-func TestCopiesHoldWhatTheyClaim(t *testing.T) {
+func TestReplicasAreCompleteUpToTheirPosition(t *testing.T) {
 	for seed := range uint64(5000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		h := &history{}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -25,7 +25,7 @@
 
 func removal(key string, rev int64) Item { return Item{Key: key, Revision: rev, Deleted: true} }
 
-func TestApplyReturnsWhatMatters(t *testing.T) {
+func TestApplyReturnsSignificantChanges(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 1), put("b", "1", 2)}, at(5), 0)
 	for _, c := range []struct {
@@ -179,7 +179,7 @@
 // Balancers exchange items with the store and each other in any order, with
 // duplicates and old listings. In the end all replicas are equal, and none ever returns
 // to an older write of a key.
-func TestCopiesConverge(t *testing.T) {
+func TestReplicasConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		store := New(significant)
--- a/internal/router/probe_test.go
+++ b/internal/router/probe_test.go
@@ -210,7 +210,7 @@
 // A probe of another candidate keeps the caller's acknowledgement from the
 // flow's target, which retransmits its SYN-ACK. The SYN-ACK must end the
 // probe, also when another home asks about it.
-func TestRepeatedAcceptanceEndsAProbe(t *testing.T) {
+func TestRetransmittedAcceptanceEndsAProbe(t *testing.T) {
 	for _, flags := range []uint8{0, geneve.FlagFormer, geneve.FlagFormer | geneve.FlagCrossed} {
 		acceptedWhileProbed(t, flags)
 	}
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,8 +1,8 @@
-// Package faultproxy is a relay between processes that on request drops, delays,
+// Package faultproxy is a proxy between processes that on request drops, delays,
 // duplicates and reorders datagrams, and cuts links, including TCP connections to
-// the platform. Each link has its own listening address. The relay's outgoing
+// the platform. Each link has its own listening address. The proxy's outgoing
 // sockets are bound to the sender's address, so that the receiver sees the same
-// source address as without the relay.
+// source address as without the proxy.
 package faultproxy
 
 import (
@@ -32,7 +32,7 @@
 	Source netip.Addr     `json:"source"`
 }
 
-// Plan lists the links and gates of a relay process.
+// Plan lists the links and gates of a proxy process.
 type Plan struct {
 	Links []Link `json:"links"`
 	Gates []Gate `json:"gates"`
@@ -50,7 +50,7 @@
 	Platform []string `json:"platform"`
 }
 
-// proxy is the state of a relay process.
+// proxy is the state of a proxy process.
 type proxy struct {
 	mu       sync.RWMutex
 	faults   Faults
@@ -58,7 +58,7 @@
 	outgoing sync.Map        // sender and link -> *net.UDPConn
 }
 
-// Main relays until ctx ends.
+// Main forwards until ctx ends.
 func Main(ctx context.Context, args []string) error {
 	fs := flag.NewFlagSet("faultproxy", flag.ContinueOnError)
 	file := fs.String("links", "", "JSON file with the links and gates")
@@ -86,7 +86,7 @@
 			return errors.Wrapf(err, "faultproxy: listen on %s", l.Listen)
 		}
 		go func() { <-ctx.Done(); _ = c.Close() }()
-		go p.relay(c, l)
+		go p.forward(c, l)
 	}
 	srv := &http.Server{Addr: *control, Handler: p}
 	go func() { <-ctx.Done(); _ = srv.Close() }()
@@ -112,8 +112,8 @@
 	p.mu.Unlock()
 }
 
-// relay forwards the datagrams of a link until its socket is closed.
-func (p *proxy) relay(in *net.UDPConn, l Link) {
+// forward forwards the datagrams of a link until its socket is closed.
+func (p *proxy) forward(in *net.UDPConn, l Link) {
 	b := make([]byte, 1<<16)
 	for {
 		n, from, err := in.ReadFromUDPAddrPort(b)
--- a/internal/standin/faultproxy/tcp.go
+++ b/internal/standin/faultproxy/tcp.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Gate is a TCP relay from a data centre to the platform. While the data centre is
+// Gate is a TCP proxy from a data centre to the platform. While the data centre is
 // cut off from the platform, open connections are closed, and new ones are closed as
 // soon as they are accepted.
 type Gate struct {
@@ -37,7 +37,7 @@
 				return
 			}
 			if err == nil {
-				go p.relayConn(c, g)
+				go p.forwardConn(c, g)
 			}
 		}
 	}()
@@ -56,8 +56,8 @@
 	return false
 }
 
-// relayConn relays one connection until either end closes it or the gate is cut.
-func (p *proxy) relayConn(in *net.TCPConn, g Gate) {
+// forwardConn forwards one connection until either end closes it or the gate is cut.
+func (p *proxy) forwardConn(in *net.TCPConn, g Gate) {
 	defer func() { _ = in.Close() }()
 	if p.isCut(g) {
 		return
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -1,6 +1,6 @@
 // Package testbed starts a whole deployment of real processes on loopback for
 // the demo, the measurements and the integration tests: stand-ins for the
-// platform, the fabric, targets and callers, a fault-injecting relay between
+// platform, the fabric, targets and callers, a fault-injecting proxy between
 // the balancers, and the balancers themselves.
 package testbed
 
