--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -94,7 +94,7 @@
 	return w.Deadline < o.Deadline
 }
 
-// Remove removes the waiter of k. Admitted says whether it got room, as
+// Remove removes the waiter of k. admitted is whether it got room, as
 // opposed to being refused or abandoned.
 func (q *Queue) Remove(k flow.Key, admitted bool) {
 	for i, w := range q.waiters {
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -92,7 +92,7 @@
 	return zap.Stringer("revision", c.replica.Position().At(i.Revision))
 }
 
-// applyTarget applies a target's registration or its removal. logged tells whether to log
+// applyTarget applies a target's registration or its removal. logged is whether to log
 // it.
 func (c *control) applyTarget(now time.Duration, i replica.Item, source string, logged bool) {
 	id, err := platform.ParseTargetID(i.Key)
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -47,8 +47,8 @@
 }
 
 // isPresent reports whether a balancer counts as alive. This includes one that has
-// announced a planned stop, as the routers know of it, and one from which no heartbeat has
-// arrived because this balancer has just started.
+// announced a planned stop, as the routers detect it by their probes, and one from which no
+// heartbeat has arrived because this balancer has just started.
 func (c *control) isPresent(now time.Duration, vm string) bool {
 	n := c.peers[vm]
 	if n == nil {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -89,7 +89,7 @@
 	return false
 }
 
-// applyFindings applies a peer's findings about targets.
+// applyFindings applies a peer's findings: the targets that it suspects or found dead.
 func (c *control) applyFindings(now time.Duration, h peer.Heartbeat) {
 	for i, id := range h.Suspected {
 		id := direct.TargetID(id)
--- a/internal/edge/ready.go
+++ b/internal/edge/ready.go
@@ -16,7 +16,7 @@
 type ready struct {
 	srv *http.Server
 	ok  atomic.Bool // this balancer can serve
-	// yielding tells that other data centres should serve; see yieldIfOutnumbered.
+	// yielding is set if other data centres should serve; see yieldIfOutnumbered.
 	yielding atomic.Bool
 }
 
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A caller opens a flow at a target that has just restarted, through a balancer that does
-// not know of the restart, as the store is unreachable. The flow must continue when the
+// A caller opens a flow at a target that has just restarted, through a balancer that has
+// not learned of the restart, as the store is unreachable. The flow must continue when the
 // store is reachable again.
 func TestFlowOfANewStartThatIsNotKnownYet(t *testing.T) {
 	t.Parallel()
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -30,7 +30,7 @@
 )
 
 // Heartbeat carries a balancer's replica position, the loads that its flows put on
-// targets, and its findings about targets.
+// targets, the outcomes of its requests, and the targets that it suspects.
 type Heartbeat struct {
 	From       string         `cbor:"1,keyasint"`
 	DataCenter string         `cbor:"2,keyasint"`
@@ -48,7 +48,7 @@
 	// Suspected lists the targets that failed the sender's last check.
 	Suspected []uint64 `cbor:"9,keyasint,omitempty"`
 	Version   int64    `cbor:"10,keyasint"` // of the catalogue in force
-	// Leaving is set while the sender shuts down and hands over its flows.
+	// Leaving is set during the sender's planned stop.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
 	// Outcomes are the results of the sender's recent requests, for targets that
 	// failed some of them.
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -49,7 +49,7 @@
 var LastPlace = Place{DataCenterRank: lastDataCenterRank, Rank: lastRank}
 
 // Decide returns whether to read now. age is the age of the replica. hasActiveReader
-// tells whether a balancer earlier in the order reads the store successfully.
+// is whether a balancer earlier in the order reads the store successfully.
 //
 // Guards against a balancer that had to read once and keeps retrying failed reads
 // although others could keep its replica current; that replica alone then stays old. A
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -35,7 +35,7 @@
 	// in this struct belong to its era.
 	position    revision.Revision
 	newestAhead int64 // highest revision of an item that was newer than the position on arrival
-	// exact tells whether the replica holds every key that existed at its position, also
+	// exact is set if the replica holds every key that existed at its position, also
 	// those that were removed later. After a listing it may not, as the later pages lack
 	// keys that were removed in the meantime.
 	exact  bool
--- a/internal/replica/settling.go
+++ b/internal/replica/settling.go
@@ -12,7 +12,7 @@
 // Settling defers changes that only result from a restore of the store from an older
 // copy. The operator and the targets write again what they had written since that copy
 // was made, the targets with their next heartbeats. Until then the store lacks entries
-// that balancers know of.
+// that balancers already have.
 //
 // Guards against a target that registered, announced that it leaves, or left after the
 // copy was made. Without this, a live target would count as gone, or openings would be
@@ -42,7 +42,8 @@
 // Left returns the remaining settling time, or 0 once the store has settled.
 func (s *Settling) Left(now time.Duration) time.Duration { return max(s.until-now, 0) }
 
-// Defer defers the change of a key until the store has settled.
+// Defer defers the change of a key until the store has settled. Logs count such changes as
+// heldChanges.
 func (s *Settling) Defer(key string) {
 	if s.deferred == nil {
 		s.deferred = map[string]bool{}
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -89,7 +89,7 @@
 }
 
 // forwardAsked sends the packet to the flow's target if the flow is known
-// here. This happens at a former home that does not know of the change yet.
+// here. This happens at a former home that does not use the new view yet.
 func (c *call) forwardAsked() bool {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
--- a/internal/slowstart/owners.go
+++ b/internal/slowstart/owners.go
@@ -19,7 +19,7 @@
 	// maxOwners is the maximum number of owners, larger than any data centre.
 	maxOwners = 10000
 	// usedShare is the share of a target's rate that is distributed. Balancers that have just
-	// joined are owners in their own view before the others know of them: if they are a
+	// joined are owners in their own view before they are in that of the others: if they are a
 	// fifth, all together open at 1.2 times the rate plus four. The requirement is 1.5 times
 	// the rate plus five.
 	usedShare = 0.8
