--- a/internal/catalogue/service.go
+++ b/internal/catalogue/service.go
@@ -1,6 +1,6 @@
-// Package catalogue defines the operators' configuration: one entry per
-// service, parsed and validated once into plain structs, and the rule by which
-// newer versions of entries replace older ones.
+// Package catalogue defines the operators' configuration of rosedaled: one
+// entry per service, parsed and validated once into plain structs, and the
+// rule by which newer versions of entries replace older ones.
 package catalogue
 
 import (
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,7 +1,7 @@
-// Package control runs the single goroutine that owns all control state: the member
-// list, the catalogue and the health of targets. It passes messages, check results and
-// the time to the packages that make the decisions, sends the messages that they return,
-// and publishes each new view to the data path.
+// Package control runs the single goroutine that owns all control state of rosedaled:
+// the member list, the catalogue and the health of targets. It passes messages, check
+// results and the time to the packages that make the decisions, sends the messages that
+// they return, and publishes each new view to the data path.
 package control
 
 import (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon assembles the components of rosedaled and runs them.
+// Package daemon assembles the components of rosedaled and runs them until a planned
+// stop. The components make all decisions.
 package daemon
 
 import (
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,7 @@
-// Package edge is the daemon of a balancer whose targets answer callers directly. One
-// goroutine forwards packets and one owns all control state. The others wait for the
-// network and pass their results to the control goroutine.
+// Package edge implements the daemon rosedale-edge, a balancer whose targets answer callers
+// directly. One goroutine forwards packets and one owns all control state; package direct
+// decides on packets. The other goroutines wait for the network and pass their results to
+// the control goroutine.
 package edge
 
 import (
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link transports control messages between balancers over QUIC with mutual TLS.
-// Small messages are sent as datagrams, large ones on streams.
+// Package link transports the control messages of rosedaled over QUIC with mutual
+// TLS. Small messages are sent as datagrams, large ones on streams.
 package link
 
 import (
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -1,9 +1,9 @@
-// Package member maintains the list of balancers. Each member sends heartbeats to
-// a bounded set of neighbours and attaches changes of the list to them, so that its
-// cost does not grow with the fleet. The protocol follows SWIM (Das et al. 2002),
-// with a fixed neighbourhood in place of uniformly random peers, which also bounds
-// the number of connections. The package does no I/O: it takes messages and the
-// time, and returns the messages to send.
+// Package member maintains rosedaled's list of balancers. Each member sends
+// heartbeats to a bounded set of neighbours and attaches changes of the list to
+// them, so that its cost does not grow with the fleet. The protocol follows SWIM
+// (Das et al. 2002), with a fixed neighbourhood in place of uniformly random
+// peers, which also bounds the number of connections. The package does no I/O: it
+// takes messages and the time, and returns the messages to send.
 package member
 
 import (
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,7 +1,7 @@
-// Package peer defines the messages between balancers and the ranking of balancers
-// in a fleet. Heartbeats, each a single datagram, carry the replica position, the
-// loads of targets and the results of checks; changes of the replica travel over
-// HTTP.
+// Package peer defines the messages between the balancers of rosedale-edge and the
+// ranking of balancers in a fleet. Heartbeats, each a single datagram, carry the
+// replica position, the loads of targets, request outcomes and suspected targets;
+// changes of the replica travel over HTTP.
 package peer
 
 import (
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,4 @@
-// Package router decides what a balancer does with each packet. It does no I/O
+// Package router decides what rosedaled does with each packet. It does no I/O
 // and reads no clock: its inputs are packets, views and the time, and its
 // outputs are actions. The daemon, the tests and the model checker run the
 // same code.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the daemon's static settings: a TOML file, in which
+// Package settings reads the static settings of rosedaled: a TOML file, in which
 // flags and the environment override single values. Configuration that changes
 // while the daemon runs is in the catalogue instead.
 package settings
--- a/internal/standin/direct/store.go
+++ b/internal/standin/direct/store.go
@@ -1,6 +1,7 @@
-// Package direct provides stand-ins for the users' platform in tests: its metadata
-// store, targets that answer callers directly, and callers. They implement the
-// platform's published formats over loopback and inject faults on request.
+// Package direct provides stand-ins for the users' platform in tests and in the demo of
+// rosedale-edge: its metadata store, targets that answer callers directly, and callers.
+// They implement the platform's published formats over loopback and inject faults on
+// request.
 package direct
 
 import (
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform is the stand-in for the platform's key-value store. It
-// implements the part of Consul's KV and session API that rosedale uses: reads,
-// compare-and-swap, recursive reads, blocking queries, and sessions whose locks
-// expire. It keeps all data in memory, counts calls, and on request is slow,
-// unavailable, or loses the answers of writes that took effect.
+// Package platform is the stand-in for the key-value store of rosedaled's
+// platform. It implements the part of Consul's KV and session API that rosedale
+// uses: reads, compare-and-swap, recursive reads, blocking queries, and sessions
+// whose locks expire. It keeps all data in memory, counts calls, and on request
+// is slow, unavailable, or loses the answers of writes that took effect.
 package platform
 
 import (
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,8 +1,9 @@
-// Package store accesses the platform's key-value store, which holds the
-// catalogue. The daemon only reads and watches; the command line writes with
-// compare-and-swap. Store is the interface; Consul implements the KV API over
-// net/http without a client library, since only a small part of the API is
-// needed and no library covers every platform's store.
+// Package store accesses the platform's key-value store, which holds
+// rosedaled's catalogue. The daemon only reads and watches; the command line
+// writes with compare-and-swap. rosedale-edge uses platform.Store instead.
+// Store is the interface; Consul implements the KV API over net/http without
+// a client library, since only a small part of the API is needed and no
+// library covers every platform's store.
 package store
 
 import (
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,7 @@
-// Package wire defines the control messages between balancers. They are CBOR maps with
-// integer keys. Receivers ignore unknown keys, so that two versions of the daemon can run
-// side by side during an upgrade.
+// Package wire defines the control messages between the balancers of rosedaled; those of
+// rosedale-edge are in package peer. They are CBOR maps with integer keys. Receivers
+// ignore unknown keys, so that two versions of the daemon can run side by side during an
+// upgrade.
 package wire
 
 import (
