--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// An operator who meets a counter must find what it means.
+// Operators must find the meaning of every counter in the documentation.
 func TestEveryCounterIsDocumented(t *testing.T) {
 	page := read(t, "../../docs/operators/counters.md")
 	for _, r := range router.Reasons() {
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -66,7 +66,7 @@
 }
 
 // NewFirstCopy returns the state of a balancer that starts at the address self. jitter is
-// a random number in [0, 1), drawn anew at each start.
+// a random number in [0, 1), new at each start.
 func NewFirstCopy(self netip.AddrPort, jitter float64) *FirstCopy {
 	return &FirstCopy{self: self, jitter: jitter}
 }
--- a/internal/standin/direct/target_test.go
+++ b/internal/standin/direct/target_test.go
@@ -64,7 +64,7 @@
 	return header{seq: opening.seq + 1, ack: accept.seq + 1, src: opening.src, dst: opening.dst, hasAck: true}
 }
 
-// Guards against a target that starts the flow anew on a late copy of its opening, and
+// Guards against a target that starts the flow again on a late copy of its opening, and
 // so executes the flow's first request again when it is retransmitted.
 func TestLateCopyOfAnOpeningChangesNoFlow(t *testing.T) {
 	x := newBareTarget(t)
