--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -43,8 +43,8 @@
 	// peer that has it needs no changes from the sender.
 	LastChange int64 `cbor:"6,keyasint"`
 	// Reading is set if the sender itself reads the store successfully.
-	Reading bool        `cbor:"7,keyasint"`
-	Loads   []TargetUse `cbor:"8,keyasint,omitempty"`
+	Reading bool         `cbor:"7,keyasint"`
+	Loads   []TargetLoad `cbor:"8,keyasint,omitempty"`
 	// Suspected lists the targets that failed the sender's last check.
 	Suspected []uint64 `cbor:"9,keyasint,omitempty"`
 	Version   int64    `cbor:"10,keyasint"` // of the catalogue in force
@@ -72,9 +72,9 @@
 	return revision.Revision{Era: h.Era, Number: h.Position}
 }
 
-// TargetUse is the number of the sender's flows and in-flight requests at a target.
+// TargetLoad is the number of the sender's flows and in-flight requests at a target.
 // It is encoded as an array to keep heartbeats short.
-type TargetUse struct {
+type TargetLoad struct {
 	_     struct{} `cbor:",toarray"`
 	ID    uint64
 	Flows int
@@ -136,13 +136,13 @@
 
 // Uses converts loads for a heartbeat. It returns nil if there are more than
 // MaxUses, because targets missing from a partial list would look idle to peers.
-func Uses(loads map[direct.TargetID]direct.Load) []TargetUse {
+func Uses(loads map[direct.TargetID]direct.Load) []TargetLoad {
 	if len(loads) > MaxUses {
 		return nil
 	}
-	out := make([]TargetUse, 0, len(loads))
+	out := make([]TargetLoad, 0, len(loads))
 	for id, l := range loads {
-		out = append(out, TargetUse{ID: uint64(id), Flows: l.Flows, Busy: l.Busy})
+		out = append(out, TargetLoad{ID: uint64(id), Flows: l.Flows, Busy: l.Busy})
 	}
 	return out
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -153,7 +153,7 @@
 }
 
 func FuzzDecodeHeartbeat(f *testing.F) {
-	b, err := Encode(Heartbeat{From: "a", Loads: []TargetUse{{ID: 1, Flows: 2, Busy: 3}}})
+	b, err := Encode(Heartbeat{From: "a", Loads: []TargetLoad{{ID: 1, Flows: 2, Busy: 3}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/peer/upgrade_test.go
+++ b/internal/peer/upgrade_test.go
@@ -19,7 +19,7 @@
 	var h Heartbeat
 	decodeFile(t, "heartbeat.cbor", &h)
 	want := Heartbeat{From: "vm-1", DataCenter: "a", Control: control, Position: 4711, Age: 250 * time.Millisecond, LastChange: 4700,
-		Reading: true, Loads: []TargetUse{{ID: 0xa000000001, Flows: 3, Busy: 1}}, Suspected: []uint64{0xa000000002}, Version: 9, Leaving: true}
+		Reading: true, Loads: []TargetLoad{{ID: 0xa000000001, Flows: 3, Busy: 1}}, Suspected: []uint64{0xa000000002}, Version: 9, Leaving: true}
 	if !reflect.DeepEqual(h, want) {
 		t.Errorf("heartbeat %+v, want %+v", h, want)
 	}
@@ -68,7 +68,7 @@
 // A balancer of the first version must decode the heartbeats of an upgraded one.
 func TestFirstVersionDecodesCurrentHeartbeats(t *testing.T) {
 	sent := Heartbeat{From: "vm-2", DataCenter: "b", Control: netip.MustParseAddrPort("10.0.0.2:17002"), Position: 5, Age: time.Second, LastChange: 4,
-		Reading: true, Loads: []TargetUse{{ID: 7, Flows: 1, Busy: 2}}, Suspected: []uint64{8}, Version: 3, Leaving: true,
+		Reading: true, Loads: []TargetLoad{{ID: 7, Flows: 1, Busy: 2}}, Suspected: []uint64{8}, Version: 3, Leaving: true,
 		History: 2, Dead: []int{0}, Era: 2, Settling: time.Second, Outcomes: TargetOutcomes(map[direct.TargetID]direct.Outcome{7: {Good: 1, Bad: 2}})}
 	b, err := Encode(sent)
 	if err != nil {
