--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -112,7 +112,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.fleet.Small() {
-		h.Loads = peer.Uses(e.forward.Loads())
+		h.Loads = peer.TargetLoads(e.forward.Loads())
 	}
 	h.Outcomes = peer.TargetOutcomes(e.forward.Outcomes(now))
 	h.Suspected, h.Dead = findings(e.forward)
--- a/internal/edge/heartbeat_test.go
+++ b/internal/edge/heartbeat_test.go
@@ -27,7 +27,7 @@
 	for i := range 15 {
 		h.Suspected = append(h.Suspected, 0xa000000000+uint64(i))
 	}
-	h.Loads, h.Outcomes = peer.Uses(loads), peer.TargetOutcomes(outcomes)
+	h.Loads, h.Outcomes = peer.TargetLoads(loads), peer.TargetOutcomes(outcomes)
 	b, err := encodeHeartbeat(h)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -134,9 +134,9 @@
 	return errors.Wrap(cbor.Unmarshal(b, into), "peer: decode")
 }
 
-// Uses converts loads for a heartbeat. It returns nil if there are more than
+// TargetLoads converts loads for a heartbeat. It returns nil if there are more than
 // MaxUses, because targets missing from a partial list would look idle to peers.
-func Uses(loads map[direct.TargetID]direct.Load) []TargetLoad {
+func TargetLoads(loads map[direct.TargetID]direct.Load) []TargetLoad {
 	if len(loads) > MaxUses {
 		return nil
 	}
