--- a/internal/edge/heartbeat_test.go
+++ b/internal/edge/heartbeat_test.go
@@ -19,7 +19,7 @@
 		From: strings.Repeat("x", 40), DataCenter: strings.Repeat("y", 20), Control: netip.MustParseAddrPort("10.200.200.200:17002"),
 		Position: 1 << 40, LastChange: 1 << 40, Age: time.Second, Reading: true, Version: 1 << 40,
 	}
-	for i := range peer.MaxUses {
+	for i := range peer.MaxLoads {
 		id := direct.TargetID(0xa000000000 + i)
 		loads[id] = direct.Load{Flows: 200, Busy: 10}
 		outcomes[id] = direct.Outcome{Good: 40, Bad: 40}
@@ -39,7 +39,7 @@
 	if err := peer.Decode(b, &got); err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Suspected) != 15 || len(got.Loads) != peer.MaxUses {
+	if len(got.Suspected) != 15 || len(got.Loads) != peer.MaxLoads {
 		t.Errorf("%d suspected, %d loads arrive", len(got.Suspected), len(got.Loads))
 	}
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -21,8 +21,8 @@
 const (
 	// MaxMessage is the maximum length of an encoded heartbeat in bytes.
 	MaxMessage = 1200
-	// MaxUses is the maximum number of targets whose loads it carries.
-	MaxUses = 50
+	// MaxLoads is the maximum number of targets whose loads it carries.
+	MaxLoads = 50
 	// MaxSuspected is the maximum number of suspected targets.
 	MaxSuspected = 40
 	// MaxOutcomes is the maximum number of targets with request outcomes.
@@ -137,7 +137,7 @@
 // TargetLoads converts loads for a heartbeat. It returns nil if there are more than
 // MaxUses, because targets missing from a partial list would look idle to peers.
 func TargetLoads(loads map[direct.TargetID]direct.Load) []TargetLoad {
-	if len(loads) > MaxUses {
+	if len(loads) > MaxLoads {
 		return nil
 	}
 	out := make([]TargetLoad, 0, len(loads))
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -82,7 +82,7 @@
 
 func TestHeartbeatFitsADatagram(t *testing.T) {
 	loads := map[direct.TargetID]direct.Load{}
-	for i := range MaxUses {
+	for i := range MaxLoads {
 		loads[direct.TargetID(1)<<40+direct.TargetID(i)] = direct.Load{Flows: 1000, Busy: 20}
 	}
 	h := Heartbeat{From: strings.Repeat("x", 40), DataCenter: strings.Repeat("y", 20), Control: netip.MustParseAddrPort("10.200.200.200:65535"),
