--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -135,7 +135,7 @@
 }
 
 // TargetLoads converts loads for a heartbeat. It returns nil if there are more than
-// MaxUses, because targets missing from a partial list would look idle to peers.
+// MaxLoads, because targets missing from a partial list would look idle to peers.
 func TargetLoads(loads map[direct.TargetID]direct.Load) []TargetLoad {
 	if len(loads) > MaxLoads {
 		return nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -99,7 +99,7 @@
 	}
 	loads[1] = direct.Load{Flows: 1}
 	if TargetLoads(loads) != nil {
-		t.Error("loads beyond MaxUses: want none, got a partial list")
+		t.Error("loads beyond MaxLoads: want none, got a partial list")
 	}
 	var back Heartbeat
 	if err := Decode(b, &back); err != nil || !reflect.DeepEqual(h, back) {
