--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// peerSurplus returns, by target identifier, the sum over all peers of the connections
+// peerExcess returns, by target identifier, the sum over all peers of the connections
 // that a peer has at the target beyond this balancer's own. In a large group only some
 // peers report to each member; the sum is scaled up to the number of all peers.
-func (t *connectionTable) peerSurplus(now time.Duration, ids *interner, peers int) map[uint32]int {
+func (t *connectionTable) peerExcess(now time.Duration, ids *interner, peers int) map[uint32]int {
 	sum, reports := map[uint32]int{}, map[uint32]int{}
 	for name, m := range t.peers {
 		for hash, c := range m {
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -193,7 +193,7 @@
 
 // tickSlow does the periodic work that is not needed at every tick.
 func (l *Loop) tickSlow(ctx context.Context, now time.Duration) {
-	l.router.SetPeerExcess(l.connections.peerSurplus(now, l.ids, len(l.reachable())))
+	l.router.SetPeerExcess(l.connections.peerExcess(now, l.ids, len(l.reachable())))
 	l.updateReader(ctx)
 	l.checkTargets(ctx, now)
 	l.reportLoads(now)
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -103,9 +103,9 @@
 	for _, hash := range l.streamTargets {
 		out[hash] = 0
 	}
-	for _, h := range l.router.Usage() {
-		if hash, ok := l.streamTargets[h.Target]; ok {
-			out[hash] = h.Connections
+	for _, u := range l.router.Usage() {
+		if hash, ok := l.streamTargets[u.Target]; ok {
+			out[hash] = u.Connections
 		}
 	}
 	return out
