--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -29,14 +29,14 @@
 
 // logOutliers logs each target that has started or stopped failing requests.
 func (c *control) logOutliers(changes []direct.OutlierChange) {
-	for _, g := range changes {
+	for _, o := range changes {
 		outcome := "target answers well again"
-		if g.Failing {
+		if o.Failing {
 			outcome = "target fails requests"
 		}
-		c.log.Info(outcome, zap.Stringer("target", g.Target), zap.Float64("share", g.Share),
-			zap.Float64("good", g.Own.Good), zap.Float64("bad", g.Own.Bad),
-			zap.Float64("peers_good", g.Peers.Good), zap.Float64("peers_bad", g.Peers.Bad))
+		c.log.Info(outcome, zap.Stringer("target", o.Target), zap.Float64("share", o.Share),
+			zap.Float64("good", o.Own.Good), zap.Float64("bad", o.Own.Bad),
+			zap.Float64("peers_good", o.Peers.Good), zap.Float64("peers_bad", o.Peers.Bad))
 	}
 }
 
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -50,9 +50,9 @@
 // announced a planned stop, as the routers detect it by their probes, and one from which no
 // heartbeat has arrived because this balancer has just started.
 func (c *control) isPresent(now time.Duration, vm string) bool {
-	n := c.peers[vm]
-	if n == nil {
+	p := c.peers[vm]
+	if p == nil {
 		return now < lostAfter
 	}
-	return n.last.Leaving || now-n.lastReceived < lostAfter
+	return p.last.Leaving || now-p.lastReceived < lostAfter
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -54,18 +54,18 @@
 
 func (c *control) handleHeartbeat(ctx context.Context, h peer.Heartbeat) {
 	now := c.now()
-	n := c.peers[h.From]
-	if n != nil && h.Leaving && !n.last.Leaving {
+	p := c.peers[h.From]
+	if p != nil && h.Leaving && !p.last.Leaving {
 		c.log.Info("balancer is stopping", zap.String("peer", h.From))
 	}
-	if n == nil || now-n.lastReceived > peerSilent {
+	if p == nil || now-p.lastReceived > peerSilent {
 		c.log.Info("heartbeat from a new or returned balancer", zap.String("peer", h.From), zap.Stringer("position", h.Revision()), zap.Int64("version", h.Version))
 	}
-	if n == nil {
-		n = &peerState{}
-		c.peers[h.From] = n
+	if p == nil {
+		p = &peerState{}
+		c.peers[h.From] = p
 	}
-	n.last, n.lastReceived = h, now
+	p.last, p.lastReceived = h, now
 	c.settleFromPeer(now, h)
 	if c.isBehind(now, h) && !c.reader.Succeeding() {
 		c.fetchChanges(ctx, h.Control, h.Era, h.History)
@@ -116,8 +116,8 @@
 }
 
 // isActive reports whether a balancer sends heartbeats and is not stopping.
-func (n *peerState) isActive(now time.Duration) bool {
-	return now-n.lastReceived <= peerSilent && !n.last.Leaving
+func (p *peerState) isActive(now time.Duration) bool {
+	return now-p.lastReceived <= peerSilent && !p.last.Leaving
 }
 
 // hasActiveReader reports whether a balancer earlier in the order of readers reads the
@@ -125,12 +125,12 @@
 // support eras, proves nothing to this one and is not counted. It also forgets balancers
 // that have been silent for longer than peerRetention.
 func (c *control) hasActiveReader(now time.Duration) bool {
-	for name, n := range c.peers {
-		if now-n.lastReceived > peerRetention {
+	for name, p := range c.peers {
+		if now-p.lastReceived > peerRetention {
 			delete(c.peers, name)
 			continue
 		}
-		if n.isActive(now) && n.last.Reading && n.last.Era >= c.replica.Position().Era && c.fleet.Before(name) {
+		if p.isActive(now) && p.last.Reading && p.last.Era >= c.replica.Position().Era && c.fleet.Before(name) {
 			return true
 		}
 	}
@@ -141,16 +141,16 @@
 // forwarder's lock must be held.
 func (c *control) peerLoads(now time.Duration) map[direct.TargetID]direct.Load {
 	out := map[direct.TargetID]direct.Load{}
-	for _, n := range c.peers {
-		if now-n.lastReceived > loadRetention {
+	for _, p := range c.peers {
+		if now-p.lastReceived > loadRetention {
 			continue
 		}
-		for _, u := range n.last.Loads {
-			id := direct.TargetID(u.ID)
-			if !c.edge.forward.SameStart(id, n.last.Revision()) {
+		for _, l := range p.last.Loads {
+			id := direct.TargetID(l.ID)
+			if !c.edge.forward.SameStart(id, p.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(direct.Load{Flows: u.Flows, Busy: u.Busy})
+			out[id] = out[id].Plus(direct.Load{Flows: l.Flows, Busy: l.Busy})
 		}
 	}
 	return out
@@ -161,16 +161,16 @@
 // held.
 func (c *control) peerOutcomes(now time.Duration) map[direct.TargetID]direct.Outcome {
 	out := map[direct.TargetID]direct.Outcome{}
-	for _, n := range c.peers {
-		if n.last.DataCenter != c.edge.boot.DataCenter {
+	for _, p := range c.peers {
+		if p.last.DataCenter != c.edge.boot.DataCenter {
 			continue
 		}
-		for _, o := range n.last.Outcomes {
+		for _, o := range p.last.Outcomes {
 			id := direct.TargetID(o.ID)
-			if !c.edge.forward.SameStart(id, n.last.Revision()) {
+			if !c.edge.forward.SameStart(id, p.last.Revision()) {
 				continue
 			}
-			out[id] = out[id].Plus(o.Outcome().Decayed(now - n.lastReceived))
+			out[id] = out[id].Plus(o.Outcome().Decayed(now - p.lastReceived))
 		}
 	}
 	return out
@@ -212,8 +212,8 @@
 // isMemberActive reports whether the balancer with the given registration key sends
 // heartbeats and is not stopping.
 func (c *control) isMemberActive(key string) bool {
-	n := c.peers[strings.TrimPrefix(key, platform.MemberPrefix)]
-	return n != nil && n.isActive(c.now())
+	p := c.peers[strings.TrimPrefix(key, platform.MemberPrefix)]
+	return p != nil && p.isActive(c.now())
 }
 
 // forgetUnregistered removes balancers that have lost their registration and are inactive.
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -54,8 +54,8 @@
 		Ready: c.edge.ready.isReady(), Leaving: c.leaving, Version: c.version,
 		Era: c.replica.Position().Era, Position: c.replica.Position().Number, Settling: c.settling.Left(now), Age: c.replica.Age(now), Reading: c.reader.Reading(), StoreLost: c.storeLost,
 	}
-	for name, n := range c.peers {
-		s.Peers = append(s.Peers, Peer{name, n.last.DataCenter, now - n.lastReceived, n.last.Version, n.last.Era, n.last.Position, n.last.Reading})
+	for name, p := range c.peers {
+		s.Peers = append(s.Peers, Peer{name, p.last.DataCenter, now - p.lastReceived, p.last.Version, p.last.Era, p.last.Position, p.last.Reading})
 	}
 	slices.SortFunc(s.Peers, func(a, b Peer) int { return cmp.Compare(a.VM, b.VM) })
 	c.edge.mu.Lock()
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -13,7 +13,7 @@
 //
 // Without this, if two of three balancers lose power, two of three packets are lost
 // until they are back: routers that find fewer than half of the balancers ready
-// distrust the readiness answers and use all, including the dead ones. If none is
+// ignore the readiness answers and use all, including the dead ones. If none is
 // ready, they use another data centre. A balancer that receives no heartbeats at all
 // is cut off itself and stays ready.
 func Outnumbered(own string, all []Presence) bool {
