--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,7 +1,7 @@
-// Package control runs the single goroutine that owns all control state: the member
-// list, the catalogue and the health of targets. It passes messages, check results and
-// the time to the packages that make the decisions, sends the messages that they return,
-// and publishes each new view to the data path.
+// Package control runs the single goroutine that owns all control state of rosedaled:
+// the member list, the catalogue and the health of targets. It passes messages, check
+// results and the time to the packages that make the decisions, sends the messages that
+// they return, and publishes each new view to the data path.
 package control
 
 import (
@@ -193,7 +193,7 @@
 
 // tickSlow does the periodic work that is not needed at every tick.
 func (l *Loop) tickSlow(ctx context.Context, now time.Duration) {
-	l.router.SetPeerExcess(l.connections.peerSurplus(now, l.ids, len(l.reachable())))
+	l.router.SetPeerExcess(l.connections.peerExcess(now, l.ids, len(l.reachable())))
 	l.updateReader(ctx)
 	l.checkTargets(ctx, now)
 	l.reportLoads(now)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,7 +1,7 @@
-// Package peer defines the messages between balancers and the ranking of balancers
-// in a fleet. Heartbeats, each a single datagram, carry the replica position, the
-// loads of targets and the results of checks; changes of the replica travel over
-// HTTP.
+// Package peer defines the messages between the balancers of rosedale-edge and the
+// ranking of balancers in a fleet. Heartbeats, each a single datagram, carry the
+// replica position, the loads of targets, request outcomes and suspected targets;
+// changes of the replica travel over HTTP.
 package peer
 
 import (
@@ -21,8 +21,8 @@
 const (
 	// MaxMessage is the maximum length of an encoded heartbeat in bytes.
 	MaxMessage = 1200
-	// MaxUses is the maximum number of targets whose loads it carries.
-	MaxUses = 50
+	// MaxLoads is the maximum number of targets whose loads it carries.
+	MaxLoads = 50
 	// MaxSuspected is the maximum number of suspected targets.
 	MaxSuspected = 40
 	// MaxOutcomes is the maximum number of targets with request outcomes.
@@ -30,7 +30,7 @@
 )
 
 // Heartbeat carries a balancer's replica position, the loads that its flows put on
-// targets, and its findings about targets.
+// targets, the outcomes of its requests, and the targets that it suspects.
 type Heartbeat struct {
 	From       string         `cbor:"1,keyasint"`
 	DataCenter string         `cbor:"2,keyasint"`
@@ -43,12 +43,12 @@
 	// peer that has it needs no changes from the sender.
 	LastChange int64 `cbor:"6,keyasint"`
 	// Reading is set if the sender itself reads the store successfully.
-	Reading bool        `cbor:"7,keyasint"`
-	Loads   []TargetUse `cbor:"8,keyasint,omitempty"`
+	Reading bool         `cbor:"7,keyasint"`
+	Loads   []TargetLoad `cbor:"8,keyasint,omitempty"`
 	// Suspected lists the targets that failed the sender's last check.
 	Suspected []uint64 `cbor:"9,keyasint,omitempty"`
 	Version   int64    `cbor:"10,keyasint"` // of the catalogue in force
-	// Leaving is set while the sender shuts down and hands over its flows.
+	// Leaving is set during the sender's planned stop.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
 	// Outcomes are the results of the sender's recent requests, for targets that
 	// failed some of them.
@@ -72,9 +72,9 @@
 	return revision.Revision{Era: h.Era, Number: h.Position}
 }
 
-// TargetUse is the number of the sender's flows and in-flight requests at a target.
+// TargetLoad is the number of the sender's flows and in-flight requests at a target.
 // It is encoded as an array to keep heartbeats short.
-type TargetUse struct {
+type TargetLoad struct {
 	_     struct{} `cbor:",toarray"`
 	ID    uint64
 	Flows int
@@ -134,15 +134,15 @@
 	return errors.Wrap(cbor.Unmarshal(b, into), "peer: decode")
 }
 
-// Uses converts loads for a heartbeat. It returns nil if there are more than
-// MaxUses, because targets missing from a partial list would look idle to peers.
-func Uses(loads map[direct.TargetID]direct.Load) []TargetUse {
-	if len(loads) > MaxUses {
+// TargetLoads converts loads for a heartbeat. It returns nil if there are more than
+// MaxLoads, because targets missing from a partial list would look idle to peers.
+func TargetLoads(loads map[direct.TargetID]direct.Load) []TargetLoad {
+	if len(loads) > MaxLoads {
 		return nil
 	}
-	out := make([]TargetUse, 0, len(loads))
+	out := make([]TargetLoad, 0, len(loads))
 	for id, l := range loads {
-		out = append(out, TargetUse{ID: uint64(id), Flows: l.Flows, Busy: l.Busy})
+		out = append(out, TargetLoad{ID: uint64(id), Flows: l.Flows, Busy: l.Busy})
 	}
 	return out
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -82,11 +82,11 @@
 
 func TestHeartbeatFitsADatagram(t *testing.T) {
 	loads := map[direct.TargetID]direct.Load{}
-	for i := range MaxUses {
+	for i := range MaxLoads {
 		loads[direct.TargetID(1)<<40+direct.TargetID(i)] = direct.Load{Flows: 1000, Busy: 20}
 	}
 	h := Heartbeat{From: strings.Repeat("x", 40), DataCenter: strings.Repeat("y", 20), Control: netip.MustParseAddrPort("10.200.200.200:65535"),
-		Position: 1 << 40, Age: time.Hour, LastChange: 1 << 40, Reading: true, Loads: Uses(loads), Version: 1 << 40}
+		Position: 1 << 40, Age: time.Hour, LastChange: 1 << 40, Reading: true, Loads: TargetLoads(loads), Version: 1 << 40}
 	for i := range MaxSuspected {
 		h.Suspected = append(h.Suspected, 1<<40+uint64(i))
 	}
@@ -98,8 +98,8 @@
 		t.Errorf("heartbeat of %d bytes, want at most %d", len(b), MaxMessage)
 	}
 	loads[1] = direct.Load{Flows: 1}
-	if Uses(loads) != nil {
-		t.Error("loads beyond MaxUses: want none, got a partial list")
+	if TargetLoads(loads) != nil {
+		t.Error("loads beyond MaxLoads: want none, got a partial list")
 	}
 	var back Heartbeat
 	if err := Decode(b, &back); err != nil || !reflect.DeepEqual(h, back) {
@@ -153,7 +153,7 @@
 }
 
 func FuzzDecodeHeartbeat(f *testing.F) {
-	b, err := Encode(Heartbeat{From: "a", Loads: []TargetUse{{ID: 1, Flows: 2, Busy: 3}}})
+	b, err := Encode(Heartbeat{From: "a", Loads: []TargetLoad{{ID: 1, Flows: 2, Busy: 3}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -25,7 +25,7 @@
 
 func removal(key string, rev int64) Item { return Item{Key: key, Revision: rev, Deleted: true} }
 
-func TestApplyReturnsWhatMatters(t *testing.T) {
+func TestApplyReturnsSignificantChanges(t *testing.T) {
 	r := New(significant)
 	r.Replace([]Item{put("a", "1", 1), put("b", "1", 2)}, at(5), 0)
 	for _, c := range []struct {
@@ -179,7 +179,7 @@
 // Balancers exchange items with the store and each other in any order, with
 // duplicates and old listings. In the end all replicas are equal, and none ever returns
 // to an older write of a key.
-func TestCopiesConverge(t *testing.T) {
+func TestReplicasConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		store := New(significant)
@@ -255,10 +255,10 @@
 	}{
 		{"first of all", Place{}, 0, false, false, true},
 		{"not first, fresh replica", Place{Rank: 1}, 400 * time.Millisecond, true, false, false},
-		{"not first, slow store", Place{Centre: 1}, 1200 * time.Millisecond, false, false, false},
-		{"first of the second data centre, old replica", Place{Centre: 1}, 1450 * time.Millisecond, false, false, true},
+		{"not first, slow store", Place{DataCenterRank: 1}, 1200 * time.Millisecond, false, false, false},
+		{"first of the second data centre, old replica", Place{DataCenterRank: 1}, 1450 * time.Millisecond, false, false, true},
 		{"second in rank waits longer", Place{Rank: 1}, 1450 * time.Millisecond, false, false, false},
-		{"last in rank, old replica", Place{Centre: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
+		{"last in rank, old replica", Place{DataCenterRank: 9, Rank: 9}, 2500 * time.Millisecond, false, false, true},
 		{"keeps reading while no other balancer reads", Place{Rank: 2}, 100 * time.Millisecond, false, true, true},
 		{"stops when an earlier balancer reads", Place{Rank: 2}, 100 * time.Millisecond, true, true, false},
 	} {
