--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -11,9 +11,9 @@
 	// SmallFleet is the largest number of balancers among which each sends
 	// heartbeats to every other: each of 7 balancers handles 60 heartbeats a
 	// second, each of 85 would handle 800. In larger fleets only the balancers
-	// that read the store for their data centre and its first in rank send
-	// regular heartbeats to the data centre, and only the former send them to
-	// the relays of other data centres.
+	// that read the store and the first in rank of each data centre send regular
+	// heartbeats to their data centre, and only the former send them to the
+	// relays of other data centres.
 	SmallFleet = 16
 	// relaysPerDataCenter is the number of balancers, the first in rank of their
 	// data centre, that receive heartbeats from other data centres.
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -62,8 +62,8 @@
 	// Era is the era of the store to which all revisions in this message belong.
 	// Balancers of earlier versions omit it.
 	Era int64 `cbor:"15,keyasint,omitempty"`
-	// Settling is the remaining part of the grace period after the store was restored
-	// from an older copy, in which entries written after that copy may be missing.
+	// Settling is the remaining settling time after the store was restored from an older
+	// copy, in which entries written after that copy may be missing.
 	Settling time.Duration `cbor:"16,keyasint,omitempty"`
 }
 
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -1,7 +1,6 @@
 package peer
 
-// Presence is a registered balancer. It is alive if this balancer receives its
-// heartbeats.
+// Presence is a registered balancer and whether this balancer counts it as alive.
 type Presence struct {
 	DataCenter string
 	Alive      bool
--- a/internal/peer/sources.go
+++ b/internal/peer/sources.go
@@ -11,8 +11,8 @@
 // answers is enough, so two can be dead or cut off at the same time.
 const MaxBootstrapSources = 3
 
-// sizeTolerance limits the change of a data centre's size up to which the record in the
-// store is not rewritten: 1/sizeTolerance, a quarter, of the size.
+// sizeTolerance is the divisor of a data centre's size that gives the change, a quarter,
+// up to which the record in the store is not rewritten.
 const sizeTolerance = 4
 
 // BootstrapSources lists the balancers of a data centre from which a starting balancer
@@ -36,9 +36,9 @@
 	return s, nil
 }
 
-// UpToDate reports whether the record s in the store can stay when the bootstrap
-// sources of the data centre are current: the balancers are the same and the size
-// differs by at most a quarter.
+// UpToDate reports whether the record s in the store can stay, given the current
+// bootstrap sources of the data centre: the balancers are the same, in the same order,
+// and the size differs from the current one by at most a quarter of that.
 func (s BootstrapSources) UpToDate(current BootstrapSources) bool {
 	diff := max(s.Size-current.Size, current.Size-s.Size)
 	return slices.Equal(s.Balancers, current.Balancers) && diff*sizeTolerance <= current.Size
