--- a/internal/replica/era.go
+++ b/internal/replica/era.go
@@ -7,7 +7,7 @@
 )
 
 // replaceEra starts over with the first listing of a later era, as revisions of different
-// eras are not comparable. It returns the items whose values differ, removals first.
+// eras are not comparable. It returns the items that differ significantly, removals first.
 //
 // Guards against a store that was restored from an older copy, so that its revisions go
 // back. Without this, a replica that keeps its old revision drops every listing as
--- a/internal/replica/firstcopy.go
+++ b/internal/replica/firstcopy.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// listDelay is how long a starting balancer waits for the bootstrap sources of its
-	// data centre before it lists the store itself. After all balancers were lost,
+	// listDelay is how long a starting balancer at least waits for the bootstrap sources of
+	// its data centre before it lists the store itself. After all balancers were lost,
 	// sources on small VMs take that long to start and to list the store.
 	listDelay = 300 * time.Millisecond
 	// listingTime is how long one listing occupies the store's link: 0.2 MB at 1 Gbit/s.
@@ -25,9 +25,10 @@
 	// maxHedgeDelay bounds the delay, which doubles with each round of requests: 300
 	// balancers that ask three small VMs in vain must not slow down the start of these.
 	maxHedgeDelay = 500 * time.Millisecond
-	// maxPendingPerSource bounds the unanswered requests to a source. With one, a
-	// balancer that asks before any source has power waits until the requests to all
-	// three have timed out, even if the sources have come up in the meantime.
+	// maxPendingPerSource, times the number of sources, bounds the unanswered requests to
+	// all of them. With one per source, a balancer that has asked all three before any has
+	// power asks again only when a request times out, even if the sources have come up in
+	// the meantime.
 	maxPendingPerSource = 2
 	// bootstrapListDelay and bootstrapListSpread determine when a balancer of a new fleet
 	// lists the store if the seeds have no copy. Operators admit traffic about ten
--- a/internal/replica/gap.go
+++ b/internal/replica/gap.go
@@ -1,7 +1,7 @@
 package replica
 
-// maxGaps is the number of gaps that are remembered. Peers whose position is in an older
-// gap fetch all items.
+// maxGaps is the number of gaps that are remembered. Peers whose position is before the
+// end of an older gap fetch all items.
 const maxGaps = 8
 
 // gap is the part of the store's history between two revisions, both exclusive, that a
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -8,8 +8,8 @@
 const (
 	// ReadInterval is the time between two reads by the same reader.
 	ReadInterval = 400 * time.Millisecond
-	// takeoverAge is the age of the replica at which the next balancer in rank starts to
-	// read.
+	// takeoverAge, plus the steps below, is the age of the replica above which a balancer
+	// other than the first one starts to read.
 	takeoverAge = 1300 * time.Millisecond
 	// dataCenterStep is added for each data centre that ranks before this one, so that only
 	// one balancer takes over when the reader is lost.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -23,8 +23,8 @@
 
 // Replica is a replica of the store. It is not safe for concurrent use.
 type Replica struct {
-	// significant reports whether a change matters to balancers. Most writes only renew a
-	// heartbeat.
+	// significant reports whether a change matters to balancers. Most writes are heartbeats
+	// of targets that change nothing else.
 	significant func(key string, old, new []byte) bool
 	items       map[string]Item
 	log         []Item
--- a/internal/replica/settling.go
+++ b/internal/replica/settling.go
@@ -25,7 +25,7 @@
 }
 
 // SettleTime returns the settling time for a heartbeat interval of the targets: two
-// heartbeats, as one may be lost, and a read.
+// heartbeats, as one may be lost, and a read, but at least minSettle.
 func SettleTime(heartbeat time.Duration) time.Duration {
 	return max(2*heartbeat+ReadInterval, minSettle)
 }
