--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -11,9 +11,9 @@
 	"rosedale.dev/rosedale/platform"
 )
 
-// maxTargetLines is the number of simultaneous changes up to which each gets a log line
-// of its own. More changes come from a listing, which gets a single line: its lines would
-// hit the rate limit of the log and displace the others of that second.
+// maxTargetLines is the number of simultaneous changes up to which each change of a target
+// gets a log line of its own. More changes come from a listing, which gets a single line:
+// its lines would hit the rate limit of the log and displace the others of that second.
 const maxTargetLines = 50
 
 // apply puts changes of the replica into force: targets and evacuations first, then the
--- a/internal/edge/changes.go
+++ b/internal/edge/changes.go
@@ -111,7 +111,7 @@
 }
 
 // fetchIfOld requests changes from other balancers in turn while there is no replica, or
-// while the replica is old and this balancer's own reads fail.
+// while the replica is old and this balancer does not itself read the store successfully.
 //
 // Guards against a store that rejects a balancer before it has registered. As its peers
 // do not know it, it gets no heartbeats and would keep its first catalogue forever. Its
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// tickInterval is the interval of heartbeats to nearby balancers, checks and expiry.
+	// tickInterval is the interval of checks, of expiry and, in small fleets, of heartbeats
+	// to the balancers of the own data centre.
 	tickInterval = 100 * time.Millisecond
 	// maintenanceTicks is the interval, in ticks, of the line that reports the number of
 	// omitted log lines, and of other infrequent work.
@@ -27,8 +28,8 @@
 	eventQueue = 256
 )
 
-// control owns all control state. Its methods run on one goroutine unless their comments
-// say otherwise.
+// control owns all control state. From run on its methods are called on one goroutine, the
+// control goroutine, unless their comments say otherwise or they touch none of that state.
 type control struct {
 	edge    *Edge
 	log     *logging.Logger
@@ -39,11 +40,11 @@
 	fetch   *http.Client
 
 	events   chan func()
-	checkNow chan struct{} // signalled when a target has become suspected
+	checkNow chan struct{} // signalled when a target has become due for a check
 
 	replica       *replica.Replica
 	packer        peer.Packer
-	firstCopyCtx  context.Context // context of all requests for the first copy
+	firstCopyCtx  context.Context // of requests to the store and the sources for the first copy
 	stopFirstCopy context.CancelFunc
 	reader        replica.Reader
 	fleet         *peer.Fleet
@@ -59,14 +60,14 @@
 	readDone       time.Duration // when the last successful read ended
 	fetchBusy      bool          // a request for changes from a peer is in progress
 	fetchTurn      int           // selects the balancer to ask next
-	copySlots      chan struct{} // has an element for each full copy being sent
+	copySlots      chan struct{} // has an element for each requested full copy being sent
 	firstCopy      *replica.FirstCopy
 	sourcesWritten time.Duration // when this balancer last wrote the sources; see writeSourcesIfDue
 	version        int64         // of the catalogue in force
 	lease          lease
 	leaving        bool
-	alarmDue       bool          // a new suspicion has to be sent
-	alarmSent      time.Duration // when the last suspicion was sent
+	alarmDue       bool          // a new suspicion or a dead target has to be reported
+	alarmSent      time.Duration // when the last alarm was sent
 	outcomesSent   time.Duration // see sendOutcomesIfDue
 	ticks          int
 	storeLost      bool // the last read of the store failed
--- a/internal/edge/decisions.go
+++ b/internal/edge/decisions.go
@@ -9,8 +9,8 @@
 )
 
 // logDecision logs a decision that may have to be explained to a caller: where a flow was
-// opened, or why it was reset. Packets of open flows follow from these decisions and are
-// only counted.
+// opened, or why it was reset or a packet was dropped. Forwarded packets of open flows
+// follow from these decisions and are only counted.
 func (e *Edge) logDecision(now time.Duration, s *direct.Segment, d direct.Decision, id direct.TargetID) {
 	if d.Verb == direct.Forward && !d.SetCookie {
 		return
--- a/internal/edge/early.go
+++ b/internal/edge/early.go
@@ -42,7 +42,8 @@
 	return out
 }
 
-// handleEarly handles the openings that waited for the first catalogue.
+// handleEarly handles the openings that waited for the first catalogue. It runs on the
+// control goroutine.
 func (p *packets) handleEarly() {
 	buf := make([]byte, platform.MaxDatagram+1)
 	var seg direct.Segment
--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// farTicks is the interval of heartbeats to other data centres, and wideTicks that
-	// within a large data centre, in ticks.
+	// farTicks is the interval of heartbeats to other data centres in a small fleet, and
+	// wideTicks that of all regular heartbeats in a large one, in ticks.
 	farTicks  = 3
 	wideTicks = 2
 	// alarmInterval is the minimum interval between alarms. It batches suspicions:
@@ -46,7 +46,8 @@
 }
 
 // sendOutcomesIfDue sends the outcomes of requests to failing targets to the other
-// balancers of a large data centre. In small fleets every heartbeat contains them.
+// balancers of this data centre in a large fleet, where few balancers send regular
+// heartbeats. In a small one the regular heartbeats of each contain its outcomes.
 //
 // Guards against a target that fails part of its requests. If each of 24 balancers sends
 // it one request in five seconds, none of them alone has enough data to detect that.
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -15,8 +15,8 @@
 	// leaseTime is how long a registration outlives its balancer. Heartbeats detect a
 	// lost balancer sooner, and a long lease needs few store calls.
 	leaseTime = 60 * time.Second
-	// leaseRenewal is the renewal interval. It leaves two attempts before a lease
-	// expires.
+	// leaseRenewal is the renewal interval. It leaves 40 s for further attempts before
+	// the lease expires.
 	leaseRenewal = 20 * time.Second
 	// leaseRetry is the pause after a failed call.
 	leaseRetry = 2 * time.Second
@@ -133,9 +133,9 @@
 // registration returns the key of this balancer's registration.
 func (e *Edge) registration() string { return platform.MemberPrefix + e.boot.VM }
 
-// leave informs the other balancers that this one stops. The registration stays until the
-// lease expires, as most stops are followed by a start that reuses it. It may be called
-// from any goroutine.
+// leave announces in this balancer's heartbeats that it stops, first in one to the
+// recipients of the current tick. The registration stays until the lease expires, as most
+// stops are followed by a start that reuses it. It may be called from any goroutine.
 func (c *control) leave() {
 	c.post(func() {
 		c.leaving = true
--- a/internal/edge/outnumbered.go
+++ b/internal/edge/outnumbered.go
@@ -9,10 +9,11 @@
 	"rosedale.dev/rosedale/internal/peer"
 )
 
-// lostAfter is the silence after which a balancer that has not announced a stop counts as
-// lost. A killed process is back within 0.6 s, and two heartbeats to another data centre
-// may be lost. With 1.5 s instead, 26 and 16 requests were not served in the two runs of
-// which yieldIfOutnumbered gives the figures.
+// lostAfter is the silence from which on a balancer that has not announced a stop counts
+// as lost. A killed process is back within 0.6 s, and after the loss of one heartbeat to
+// another data centre, of which one is sent every 0.3 s, the next arrives in time. With
+// 1.5 s instead, 26 and 16 requests were not served in the two runs of which
+// yieldIfOutnumbered gives the figures.
 const lostAfter = 800 * time.Millisecond
 
 // yieldIfOutnumbered makes the routers use another data centre while this one has lost
@@ -22,9 +23,9 @@
 // Without this, callers would lose two of three packets while two of the three balancers
 // of their data centre are lost, as the routers use all balancers if fewer than half of
 // them are ready. In two runs with half of the VMs without power for 4 s, among them two
-// of the three of a data centre, 6 and 2 instead of 79 and 73 of 5,433 requests were not
-// served, and the share of requests served in the worst 2 s was 0.834 and 0.841 instead of
-// 0.728 and 0.732.
+// of the three of a data centre, 79 and 73 of 5,433 requests were not served without this,
+// and 6 and 2 with it. The share of requests served in the worst 2 s was 0.728 and 0.732
+// without this, and 0.834 and 0.841 with it.
 func (c *control) yieldIfOutnumbered(now time.Duration) {
 	yield := c.fleet.Small() && !c.edge.without.Has(direct.Yield) && peer.Outnumbered(c.edge.boot.DataCenter, c.presences(now))
 	if c.edge.ready.setYielding(yield) == yield {
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -18,7 +18,7 @@
 // a second of 3,000 packets per second while the process is not scheduled.
 const receiveBuffer = 2 << 20
 
-// forwardSample is the number of packets for each one whose latency is measured, so that
+// forwardSample is the number of packets of which the latency of one is measured, so that
 // reading the clock costs little.
 const forwardSample = 16
 
@@ -31,7 +31,7 @@
 	early      earlyOpenings
 	lastPacket atomic.Int64 // arrival of the last packet, as time.Duration since start
 
-	handled atomic.Uint64 // number of packets received
+	handled atomic.Uint64 // number of packets; one that waited in early counts twice
 }
 
 func listenPackets(e *Edge) (*packets, error) {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -24,14 +24,15 @@
 	peerRetention = time.Minute
 	// loadRetention is how long the loads reported by a silent balancer count.
 	loadRetention = time.Second
-	// unprovenAge is the age of the replica from which on changes are also fetched from a
-	// balancer that has just listed the store. It is above the 0.9 s that reads and
-	// heartbeats take, and below the age at which this balancer would read the store
-	// itself.
+	// unprovenAge is the age of the replica above which changes are fetched from any
+	// balancer whose history starts too late to prove this replica current, as after a
+	// listing of the store. Up to that age they are fetched from such a balancer only if it
+	// reads the store. The age is above the 0.9 s that reads and heartbeats take, and below
+	// that at which this balancer would read the store itself.
 	unprovenAge = time.Second
 )
 
-// receive reads heartbeats until the socket is closed.
+// receive reads heartbeats until the socket is closed. It runs on its own goroutine.
 func (c *control) receive() {
 	buf := make([]byte, peer.MaxMessage+1)
 	for {
@@ -176,7 +177,8 @@
 	return out
 }
 
-// applyMember applies the registration of another balancer.
+// applyMember applies a balancer's registration or its removal. The balancer may be this
+// one.
 func (c *control) applyMember(i replica.Item) {
 	if i.Deleted {
 		c.removeMember(i.Key)
--- a/internal/edge/read.go
+++ b/internal/edge/read.go
@@ -49,12 +49,13 @@
 	return c.reader.Decide(place, c.replica.Age(now), c.hasActiveReader(now))
 }
 
-// wideLink is the link speed, in Mbit/s, from which on a VM reads the store for others.
-// At this speed a large catalogue, 0.4 MB, takes 30 ms.
+// wideLink is the link speed, in Mbit/s, from which on a balancer ranks before those with
+// slower links, so that it reads the store for them. At this speed a large catalogue,
+// 0.4 MB, takes 30 ms.
 const wideLink = 100
 
-// endFirstCopy cancels the requests for the first copy that are still in progress, once
-// there is one.
+// endFirstCopy cancels the requests to the store and to the sources for the first copy that
+// are still in progress, once there is one.
 //
 // Guards against slow first listings after a loss of all balancers: VMs with 10 Mbit/s
 // read a catalogue of 0.4 MB for 0.3 s and more while openings wait. Answers would be
--- a/internal/edge/servechanges.go
+++ b/internal/edge/servechanges.go
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// serveChanges handles requests for changes. Those after revision 0 are for a full copy. It
-// runs on the server's goroutines.
+// serveChanges handles requests for changes. Those after revision 0 are for a full copy and
+// wait for a slot; others that have to be answered with one do not. It runs on the server's
+// goroutines.
 func (c *control) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
