--- a/internal/edge/heartbeat.go
+++ b/internal/edge/heartbeat.go
@@ -21,8 +21,8 @@
 	// to each other one.
 	alarmInterval = tickInterval / 2
 	// outcomeInterval is the minimum interval between updates about failed requests in
-	// large fleets. With it, each of 24 balancers of a data centre receives at most 80
-	// heartbeats per second.
+	// large fleets. With it, each of 24 balancers of a data centre receives at most 80 such
+	// updates per second.
 	outcomeInterval = 3 * tickInterval
 )
 
