--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -229,8 +229,8 @@
 // its connection is established.
 func (c *call) refusesOpening() bool { return c.seg.Seq == 0 && c.seg.HasAck() }
 
-// openingRefused sends an opening that its target refused to another target, or
-// queues or refuses it.
+// openingRefused handles an opening that its target refused: it is retried,
+// queued or refused.
 func (c *call) openingRefused(e *flow.Entry) {
 	o := c.r.openings[e.Key]
 	if o == nil {
--- a/internal/router/apply.go
+++ b/internal/router/apply.go
@@ -77,7 +77,8 @@
 }
 
 // SetPeerExcess sets, by target identifier, how many more connections than this
-// balancer its peers have. Targets missing from the map count as equal.
+// balancer its peers have, summed over all peers. Targets missing from the map
+// count as equal.
 func (r *Router) SetPeerExcess(excess map[uint32]int) {
 	v := r.view.Load()
 	r.mu.Lock()
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -5,8 +5,8 @@
 	"rosedale.dev/rosedale/internal/geneve"
 )
 
-// hopLimit is the maximum number of balancers that may pass on one packet,
-// whatever their views.
+// hopLimit is the hop count at which a caller's packet that the fast path does
+// not handle is dropped, whatever the balancers' views.
 const hopLimit = 8
 
 const (
@@ -88,8 +88,9 @@
 	c.askNext()
 }
 
-// forwardAsked sends the packet to the flow's target if the flow is known
-// here. This happens at a former home that does not use the new view yet.
+// forwardAsked handles the packet by the flow's entry if there is a usable one
+// here, and reports whether there was. The entry usually remains from a time
+// when this balancer was the flow's home or acted as such.
 func (c *call) forwardAsked() bool {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
@@ -230,8 +231,8 @@
 //
 // After a flow has ended at its former home, the last acknowledgement or the
 // caller's FIN may arrive at the new one, which only learned the flow.
-// Counting it would keep a slot in use for a minute; a few such slots at each
-// change of homes caused hundreds of refused requests. Those packets carry no
+// Counting it would keep a slot in use for RequestIdle; a few such slots at
+// each change of homes cause many refused requests. Those packets carry no
 // payload. An active flow soon sends some, or is handed over.
 func (c *call) provesActive() bool { return c.seg.PayloadLen > 0 && !c.seg.IsFin() }
 
@@ -270,9 +271,10 @@
 	return false
 }
 
-// resetFromCaller ends a flow that its caller resets. While the target has not
-// accepted the opening, the reset may answer the target's challenge ACK for an
-// older flow; it is forwarded and the opening stays.
+// resetFromCaller ends a flow that its caller resets. While an opening was sent
+// to a target that has not accepted it, the reset may answer the target's
+// challenge ACK for an older flow; it is forwarded and the opening stays. A
+// reset of a queued, refused or probed flow is dropped.
 func (c *call) resetFromCaller(e flow.Entry) {
 	switch e.State {
 	case flow.Queued, flow.Refused, flow.Probing:
--- a/internal/router/entries.go
+++ b/internal/router/entries.go
@@ -7,10 +7,10 @@
 	"rosedale.dev/rosedale/internal/flow"
 )
 
-// uncounted is a flag of flow.Entry that only this package uses. It marks an
-// entry whose home this balancer became and whose load is
-// not counted yet. It is counted when the next packet shows that the flow is
-// still active.
+// uncounted is a flag of flow.Entry that only this package uses. It marks the
+// entry of a flow whose home this balancer became and whose load is not counted
+// yet. The load is counted with the next packet that shows that the flow is
+// still active; see provesActive.
 const uncounted uint8 = 1 << 7
 
 // load returns a copy of the entry of the call's flow.
--- a/internal/router/formerhome.go
+++ b/internal/router/formerhome.go
@@ -33,8 +33,8 @@
 
 // unexpectedAccept handles a SYN-ACK that does not fit the record. It returns
 // false for a SYN-ACK that answerAtHome is to handle: one of the recorded target
-// or of a target that is recorded here, one whose flow is to be adopted, and one
-// to be rejected.
+// or of a target that this function records, one whose flow is to be adopted,
+// and one to be rejected.
 func (c *call) unexpectedAccept(e *flow.Entry, ok bool, id uint32) bool {
 	switch {
 	case !ok && c.askFormerHome(id, c.hop.Flags):
@@ -66,7 +66,7 @@
 // considers the other one the home, the SYN-ACK reaches openingHops here.
 func (c *call) forwardHandedAccept(e *flow.Entry, id uint32) {
 	if c.isHome() || c.hop.Flags&geneve.FlagFormer != 0 {
-		c.report(DropLateAccept, e) // the flow's home has already handled it
+		c.report(DropLateAccept, e) // this is the home again, or the home passed it on
 		return
 	}
 	c.r.Increment(HomeForwarded)
@@ -76,7 +76,8 @@
 
 // forwardCrossedAccept passes a SYN-ACK of a target other than the home's to
 // the former home, which may have delivered it to the caller. It returns false
-// if there is none to ask, or if the caller is known to be connected elsewhere.
+// if there is none to ask, if the caller is known to be connected elsewhere, or
+// if the home itself passed the SYN-ACK to this balancer as a former home.
 func (c *call) forwardCrossedAccept(e *flow.Entry, id uint32) bool {
 	if o := c.r.openings[c.key]; o != nil {
 		o.exclude(id)
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -36,11 +36,11 @@
 )
 
 // recount releases flows whose home is another balancer after the change, and
-// marks those whose home this one became, to be counted with their next
-// packet. It returns what the new homes need: pending openings, flows that use
-// slots, and streams that few other balancers can know and whose target is not
-// their first candidate. The lock is released between the parts of the table,
-// so that a large table does not delay openings.
+// marks those whose home this one became, to be counted with the next packet
+// that shows activity. It returns what the new homes need: pending openings,
+// flows that use slots, and streams that few other balancers can know and whose
+// target is not their first candidate. The lock is released between the parts
+// of the table, so that a large table does not delay openings.
 func (r *Router) recount(now time.Duration, v *View) []Moved {
 	var out []Moved
 	streams := 0
--- a/internal/router/opening.go
+++ b/internal/router/opening.go
@@ -15,13 +15,13 @@
 	packet    []byte
 	addr      Address
 	flowHash  uint64
-	tried     []uint32      // targets tried; only excluded once all with room were
+	tried     []uint32      // targets not to be tried while another one has room
 	excluded  []uint32      // of these, targets never to be tried again
 	tries     int           // attempts so far, at most MaxTries
 	notBefore time.Duration // earliest next attempt
-	sentAt    time.Duration // last time sent to a target
+	sentAt    time.Duration // last time sent to a target, apart from the copy of resent
 	deadline  time.Duration // of admission
-	resent    bool          // sent again to the same target
+	resent    bool          // sent again to the same target at half of OpenTimeout
 }
 
 // exclude keeps the opening away from a target that was tried and will be
@@ -235,7 +235,8 @@
 	}
 }
 
-// removeOpening deletes an opening that was accepted, refused or abandoned.
+// removeOpening deletes an opening that was accepted, refused, abandoned, handed
+// over or forgotten.
 func (r *Router) removeOpening(k flow.Key, o *opening) {
 	delete(r.openings, k)
 	if p := r.pools[o.addr.Service]; p != nil {
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -19,8 +19,8 @@
 // probe is the search for the target of an unknown flow, with a packet of that
 // flow.
 type probe struct {
-	packet     []byte
-	ack        uint32 // acknowledgement number of packet: the target's next sequence number
+	packet     []byte // the last one with payload, or else the first
+	ack        uint32 // acknowledgement number of the first packet: the target's next sequence number
 	candidates []uint32
 	startedAt  time.Duration
 }
@@ -129,8 +129,8 @@
 	return e.State == flow.Probing && p != nil && c.seg.Seq+1 == p.ack
 }
 
-// rejectUnknown ends a probe that every candidate rejected by passing the
-// reset to the caller, so that it reconnects instead of hanging.
+// rejectUnknown passes the reset that ended a probe to the caller, so that it
+// reconnects instead of hanging.
 //
 // When a data centre is cut off, the fabric may still distribute packets over
 // both parts of the network, and the balancers of this part must not reset a
@@ -146,9 +146,10 @@
 	c.out.sendToCaller(c.seg.Raw)
 }
 
-// probeRejected sends the probed packet to the next candidate. A reset with
-// ACK may come from a connection that accepted the segment and was then
-// aborted; on an address that is not idempotent it ends the flow instead.
+// probeRejected sends the probed packet to the next candidate. If there is none,
+// it ends the probe. A reset with ACK may come from a connection that accepted
+// the segment and was then aborted; on an address that is not idempotent it
+// ends the probe as well.
 func (c *call) probeRejected(e *flow.Entry) {
 	pr := c.r.probes[e.Key]
 	aborted := c.seg.Flags&header.TCPFlagAck != 0 && !c.addr.Idempotent
--- a/internal/router/reason.go
+++ b/internal/router/reason.go
@@ -9,9 +9,9 @@
 // an event of a flow. Each has a counter.
 type Reason uint8
 
-// The reasons. For a Drop reason a packet was discarded, for a Refuse reason an
-// opening packet was answered with a reset, and for a Retry reason an opening or
-// a probe continues.
+// The reasons. For a Drop reason a packet was discarded unless noted, for a
+// Refuse reason an opening packet was answered with a reset, and for a Retry
+// reason an opening or a probe continues.
 const (
 	DropGeneveShort     Reason = iota // geneve.ErrShort
 	DropGeneveVersion                 // geneve.ErrVersion
@@ -28,9 +28,9 @@
 	DropForeignNumber                 // answer with a VNI that no service has
 	DropForeignTarget                 // answer or hop option with an unknown target
 	DropUnknownAddress                // not a service address, or another service's
-	DropHopLimit                      // passed on by hopLimit balancers
+	DropHopLimit                      // hop count has reached hopLimit
 	DropHopKind                       // hop option of an unknown kind
-	DropTableFull                     // no room for the flow in the table
+	DropTableFull                     // no room for the flow in the table; an answer is forwarded all the same
 	DropOpeningRepeated               // retransmission of an opening that is queued or handed over
 	DropMidOpening                    // caller's packet of a flow whose opening is pending or refused
 	DropUnknownReset                  // reset of a flow that is unknown or has no connection
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -21,9 +21,10 @@
 	r.release(e, o.addr.Service, o.addr.Unit())
 }
 
-// retryRefused sends an opening that its target refused to another one. If the
-// retry budget is spent it is queued first, so that retries do not multiply
-// the load on full targets.
+// retryRefused retries an opening that its target refused, at another target if
+// one that was not tried has room. If the retry budget is spent, the opening is
+// queued first, so that retries do not multiply the load on full targets. After
+// MaxTries attempts it is refused.
 func (r *Router) retryRefused(now time.Duration, v *View, e *flow.Entry, o *opening, out *Output) {
 	p := r.pools[o.addr.Service]
 	if o.tries >= r.settings.MaxTries {
@@ -45,11 +46,12 @@
 	r.dispatchOrQueue(now, v, e, o, out)
 }
 
-// retryUnanswered sends an opening that its target left unanswered to another
-// one. The first target is never tried again for this opening: its late SYN-ACK
+// retryUnanswered retries an opening that its target left unanswered, at another
+// target. The first target is never tried again for this opening: its late SYN-ACK
 // would be mistaken for the answer to the second attempt, while the reset for
-// the first attempt ends the connection. If no other target has room or the
-// retry budget is spent, the opening stays with its target until the deadline.
+// the first attempt ends the connection. If no other target has room, after
+// MaxTries attempts or if the retry budget is spent, the opening stays with its
+// target until the deadline.
 //
 // The abandoned target is reset only when its SYN-ACK arrives, after former
 // homes were asked (see rejectAccept). While views differ another home may
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,7 +23,7 @@
 	MaxOpenings   int           // pending openings of one service
 	MaxAsk        int           // balancers asked for an unknown flow
 	OpenTimeout   time.Duration // time without an answer after which an opening is retried
-	MaxTries      int           // targets tried for one opening
+	MaxTries      int           // attempts for one opening, at different targets or the same
 	StreamIdle    time.Duration // time for which idle stream flows are kept
 	RequestIdle   time.Duration // time for which idle request flows are kept
 	SilentAfter   time.Duration // time of unanswered retransmissions after which a flow is reset
@@ -56,7 +56,7 @@
 
 // Router is one balancer's data-path state. Handle may be called by several
 // traffic goroutines: packets of known flows lock only their table shard, and
-// all others lock mu.
+// most others lock mu.
 type Router struct {
 	settings Settings
 	view     atomic.Pointer[View]
@@ -97,9 +97,9 @@
 	probeRefilledAt time.Duration
 }
 
-// Alive records that the control loop is running. If it was not for
-// AliveInterval, this process may have been paused and replaced by its peers;
-// it then leaves decisions on flows to peers, if there are any.
+// Alive records that the control loop is running. If the last call was more
+// than AliveInterval ago, this process may have been paused and replaced by its
+// peers; it then leaves decisions on flows to peers, if there are any.
 func (r *Router) Alive(now time.Duration) { r.alive.Store(int64(now)) }
 
 func (r *Router) controlStalled(now time.Duration) bool {
--- a/internal/router/silent.go
+++ b/internal/router/silent.go
@@ -19,8 +19,8 @@
 	// minUnanswered is the number of unanswered copies of one segment, from
 	// the caller and the home, after which a flow counts as silent.
 	minUnanswered = 6
-	// retransmitInterval is the time between two of the home's copies. It is
-	// twice TCP's delayed acknowledgement, and longer than a burst of packet
+	// retransmitInterval is the minimum time between two of the home's copies.
+	// It is longer than usual delays of acknowledgements and bursts of packet
 	// loss.
 	retransmitInterval = 300 * time.Millisecond
 	// objectionWait is the time for other balancers to report a recent answer.
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -113,9 +113,9 @@
 // differed, although another one is its home.
 //
 // While views differ, a copy of the opening packet may be passed back and
-// forth until the hop limit makes this balancer decide on it, after the home
-// has opened the flow. A retry here would abandon a target that has answered
-// the home, and reset the caller's connection. The caller's next
+// forth until it has made openingHops hops and this balancer decides on it,
+// after the home has opened the flow. A retry here would abandon a target that
+// has answered the home, and reset the caller's connection. The caller's next
 // retransmission goes to the home, and so does a late SYN-ACK, for which the
 // home resets the target.
 func (r *Router) forgetOpening(now time.Duration, e *flow.Entry, o *opening, out *Output) {
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -23,7 +23,7 @@
 type View struct {
 	Self    int // index in Nodes
 	Nodes   []Node
-	Partial bool // all balancers of at least one data centre are unreachable
+	Partial bool // at least one data centre has known balancers but no reachable one
 	// Remotes are the serving balancers of other groups, by data centre.
 	Remotes   map[string][]Node
 	Addresses map[netip.AddrPort]Address
@@ -41,7 +41,7 @@
 	DataCenter string
 	Data       netip.AddrPort // receives encapsulated packets
 	Seed       uint64         // rendezvous seed
-	Serving    bool           // may be a flow's home: neither leaving nor starting
+	Serving    bool           // may be a flow's home: not starting, suspected or leaving
 }
 
 // Address is a service address.
@@ -68,8 +68,8 @@
 	Slack   float64 // see balance.SlackFor
 	Policy  balance.Policy
 	Targets []balance.Target
-	// SpillTo lists the data centres of other groups that have targets, while
-	// no target of this group can take flows.
+	// SpillTo lists the data centres of other groups that have healthy targets,
+	// while no target of this group can take flows.
 	SpillTo []string
 }
 
