--- a/internal/balance/report.go
+++ b/internal/balance/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SetPeerExcess sets how many more connections than this balancer its peers had
-// at target id, summed over their last reports.
+// SetPeerExcess sets how many more connections than this balancer its peers have
+// at target id, summed over all peers and estimated from the last reports.
 func (p *Pool) SetPeerExcess(id uint32, connections int) {
 	if s := p.byID[id]; s != nil {
 		s.peerExcess = connections
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -6,7 +6,7 @@
 type Target struct {
 	ID       uint32
 	Seed     uint64     // rendezvous seed
-	Eligible bool       // active, not leaving, and not known to be unhealthy
+	Eligible bool       // may be chosen for new flows
 	Limit    [units]int // connections and slots that the target takes
 	// Ramp is the slow-start time, over which a target that became eligible
 	// reaches its full share of new flows. Zero disables slow start.
@@ -18,8 +18,8 @@
 	Target
 	used [units]int // used by flows whose home is this balancer
 	turn uint64     // Pool.turn when a slot of this target was last taken
-	// peerExcess is the sum over peers of how many more connections than this
-	// balancer they had at their last reports.
+	// peerExcess is the sum over all peers of how many more connections than
+	// this balancer they have, estimated from the last reports.
 	peerExcess int
 	// rampFrom is when the target became eligible. credit is the part of its
 	// share of new flows since then that it has not used.
@@ -54,10 +54,10 @@
 	rampBurst = 2
 )
 
-// load estimates the target's work in units. The excess counts as a share of
-// avg, the pool's average load. Reports are not used for slots: their home
+// load estimates the target's work in units. The excess is multiplied by avg,
+// the pool's average load, plus one. Reports are not used for slots: their home
 // counts them exactly, a target with other work frees them later, which the
-// counts include, and a load report about two slots is mostly noise.
+// counts include, and a load report about few slots is mostly noise.
 func (t *state) load(u Unit, homes int, now time.Duration, avg float64) float64 {
 	n := float64(t.estimatedUse(u, homes))
 	if u == Connection && t.excess > 0 && now-t.lastReportAt < reportWindow {
