--- a/internal/control/lifecycle.go
+++ b/internal/control/lifecycle.go
@@ -46,9 +46,10 @@
 	return err == nil && ready
 }
 
-// Leave performs a planned stop: it announces the stop, hands over all flows, and keeps
-// forwarding until the fabric sends no more packets or the maximum time of the settings
-// has passed. As other balancers know the flows by then, none is interrupted.
+// Leave performs a planned stop: it announces the stop, hands over the flows that other
+// balancers may not know, and keeps forwarding until the fabric sends no more packets or
+// the maximum time of the settings has passed. As other balancers know the flows by then,
+// none is interrupted.
 func (l *Loop) Leave(ctx context.Context) {
 	start := l.plane.Now()
 	_ = l.Do(ctx, func(now time.Duration) {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -133,8 +133,8 @@
 	}
 	l.catalogueChangedAt = l.plane.Now()
 	l.rebuildView = true
-	// What a starting member reads is new only to itself. Without this condition, 55
-	// starting members would push the whole catalogue to each other.
+	// What a starting member reads is new only to itself. Without this condition, members
+	// that start together would push the whole catalogue to each other.
 	if l.group.Self().Status != wire.Starting {
 		for _, s := range out {
 			l.sendTo(ctx, s.To, s.Msg)
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -41,8 +41,8 @@
 }
 
 // addNodes adds the reachable balancers of the own group and the serving ones of other
-// groups to a view. The view is partial if a data centre has dead balancers and no
-// reachable one.
+// groups to a view. The view is partial if a data centre of the own group has known
+// balancers, dead or not, and no reachable one.
 func (l *Loop) addNodes(v *router.View) {
 	l.checkers = map[uint32]bool{}
 	hasReachable, hasDead := map[string]bool{}, map[string]bool{}
@@ -164,9 +164,10 @@
 	return bt, healthy
 }
 
-// failOpen makes all active targets of a service eligible. It is called when all are
-// reported unhealthy and no other group has a healthy one: the reports are then more
-// likely to be wrong than right, and answers to flows still show which targets work.
+// failOpen makes all active targets of a service in this group eligible. It is called when
+// none is eligible and no other group has a healthy one. If all are reported unhealthy, the
+// reports are more likely to be wrong than right, and answers to flows still show which
+// targets work.
 func (l *Loop) failOpen(s *catalogue.Service, ts []balance.Target) {
 	for i := range ts {
 		ts[i].Eligible = s.Targets[i].State == catalogue.Active && l.inGroup(s.Targets[i].DataCenter)
