--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -126,7 +126,7 @@
 }
 
 // AddSeed adds a member whose address comes from the settings or from the platform's
-// list. It counts as dead until a message of the member itself arrives.
+// list. It counts as dead until any member sends a record of it.
 func (g *Group) AddSeed(r wire.Record) {
 	if g.members[r.Name] != nil {
 		return
