--- a/internal/converge/converge.go
+++ b/internal/converge/converge.go
@@ -37,7 +37,7 @@
 	random       *rand.Rand
 	lastPull     time.Duration
 	pulled       bool
-	nextPullFull bool // the last pull asked only for versions above the own highest index
+	nextPullFull bool // a pull without the index of every entry was sent since the digests were last equal
 	Count        Counts
 }
 
@@ -129,9 +129,9 @@
 	m.High = c.versions.High()
 }
 
-// Compare returns the pull to send if the digest of a heartbeat differs. The first pull
-// asks only for versions above the own highest index. If the digests still differ
-// after that, the next one contains the index of every entry.
+// Compare returns the pull to send if the digest of a heartbeat differs. It asks only for
+// versions above the own highest index if the peer's is higher and no such pull was sent
+// since the digests were last equal. Any other pull contains the index of every entry.
 func (c *Catalogue) Compare(now time.Duration, m *wire.Message) []Send {
 	if m.Digest == c.versions.Digest() || m.High == 0 {
 		c.nextPullFull = false
@@ -182,9 +182,9 @@
 
 // VersionsFromListing converts a complete listing of a part of the store, taken at
 // index, to versions. Known entries of that part that are missing from the listing are
-// returned as deleted, but only if the listing is newer than every known version of the
-// part: in a store that was restored from a backup, a missing entry need not have been
-// deleted.
+// returned as deleted, but only if the listing is newer than the entry and not older than
+// any known version of the part: in a store that was restored from a backup, a missing
+// entry need not have been deleted.
 func (c *Catalogue) VersionsFromListing(index uint64, entries []catalogue.Version, part func(name string) bool) []catalogue.Version {
 	listed := map[string]bool{}
 	for _, v := range entries {
