--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -116,8 +116,9 @@
 
 // Send sends m to the member name at addr, and opens a connection if there is none. It
 // never blocks: messages wait in a short queue while a connection is being opened or is
-// slow. Messages that do not fit the queue are counted and dropped, as later heartbeats
-// repair all state.
+// slow. Messages that do not fit the queue are counted and dropped. Later heartbeats
+// repair the state that these carried, apart from handovers: without one, a new home asks,
+// probes, or waits for the caller's next opening packet.
 func (l *Link) Send(ctx context.Context, name string, addr netip.AddrPort, m *wire.Message) {
 	b, err := wire.Encode(m)
 	if err != nil {
