--- a/internal/health/table.go
+++ b/internal/health/table.go
@@ -80,8 +80,8 @@
 	return false
 }
 
-// Merge stores a peer's finding if it is newer, and reports whether it changes the
-// target's health.
+// Merge stores a peer's finding if it is newer, and reports whether it finds another health
+// than the checker's finding before. Without one, the target counted as healthy.
 func (t *Table) Merge(now time.Duration, h wire.Health) bool {
 	old, ok := t.get(h.Target, h.Checker)
 	if ok && int32(h.Seq-old.Seq) <= 0 {
