--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -23,7 +23,7 @@
 	Root          string // folder of the repository; programs are in Root/bin
 	Examples      string // folder of catalogue entries
 	BalancerCount int    // number of balancers, 7 when zero
-	Proxy         bool   // put the fault-injecting relay between balancers and before the store
+	Proxy         bool   // put the fault-injecting proxy between balancers and before the store
 	Bare          bool   // store and balancers only, without targets and fabric
 	Extra         string // appended to every balancer's settings
 	Grouped       bool   // each data centre is a group of its own, for the fabric too
--- a/internal/testbed/operations.go
+++ b/internal/testbed/operations.go
@@ -212,7 +212,7 @@
 	return parseMetrics(resp.Body)
 }
 
-// relayAddr returns the address at which the relay accepts packets from x to o.
+// relayAddr returns the address at which the proxy accepts packets from x to o.
 func (b *Bed) relayAddr(x, o *Balancer, port uint16) netip.AddrPort {
 	from, to := -1, -1
 	for i, y := range b.Balancers {
@@ -226,13 +226,13 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 100, byte(from), byte(to + 1)}), port)
 }
 
-// storeRelayAddr returns the address at which the relay accepts calls from a data
+// storeRelayAddr returns the address at which the proxy accepts calls from a data
 // centre to the store.
 func (b *Bed) storeRelayAddr(dc string) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 101, b.secondByte(dc), 1}), storeRelayPort)
 }
 
-// startProxy starts the relay with a link for each pair of balancers and port, and a
+// startProxy starts the proxy with a link for each pair of balancers and port, and a
 // gate to the store for each data centre.
 func (b *Bed) startProxy() error {
 	var plan faultproxy.Plan
