--- a/internal/direct/baseline.go
+++ b/internal/direct/baseline.go
@@ -69,7 +69,8 @@
 	return median * (1 - by)
 }
 
-// answerTimeout returns how long a request may stay without an answer.
+// answerTimeout returns how long a request may stay without an answer, or its answer without
+// progress.
 func (b *baseline) answerTimeout() time.Duration {
 	if b == nil || b.samples < minSamples {
 		return initialAnswerTimeout
--- a/internal/direct/coldlimit.go
+++ b/internal/direct/coldlimit.go
@@ -19,9 +19,9 @@
 	return s.coldRate > 0 && now < t.coldUntil
 }
 
-// withinColdLimit reports whether this balancer may open a flow at a target now. A cold
-// target is overloaded, and fails all its requests, if the whole fleet together exceeds its
-// rate. Cold targets of other data centres are used only by the balancers there.
+// withinColdLimit reports whether the cold limit lets this balancer open a flow at a target
+// now. A cold target is overloaded, and fails all its requests, if the whole fleet together
+// exceeds its rate. Cold targets of other data centres are used only by the balancers there.
 func (f *Forwarder) withinColdLimit(now time.Duration, s *service, t *target) bool {
 	switch {
 	case !t.limitsOpenings(now, s) || f.without.Has(ColdLimits):
@@ -43,9 +43,10 @@
 	}
 }
 
-// blockedByColdLimit reports whether a service has a target that is refused new flows only by
-// its cold limit. The caller is refused rather than the limit exceeded: an overloaded target
-// loses all requests it works on, whereas a refused caller learns at once that nothing ran.
+// blockedByColdLimit reports whether a service has an eligible target whose cold limit does
+// not allow a new flow now. The caller is refused rather than the limit exceeded: an overloaded
+// target loses all requests it works on, whereas a refused caller learns at once that nothing
+// ran.
 func (f *Forwarder) blockedByColdLimit(now time.Duration, s *service) bool {
 	found := false
 	s.each(func(t *target) {
--- a/internal/direct/dead.go
+++ b/internal/direct/dead.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// markDead marks a target as dead and returns the flows to reset at once: those that wait for
-// an answer that will not come, and idle ones.
+// markDead marks a target as dead and returns the flows to reset at once: of those first seen
+// before the latest check began, the ones that wait for an answer that will not come, and idle
+// ones.
 //
 // Idle flows are reset because a non-idempotent request sent on a flow of a dead target is
 // lost for good, whereas a caller that was reset while idle opens a new flow first. This
--- a/internal/direct/evacuation.go
+++ b/internal/direct/evacuation.go
@@ -8,7 +8,8 @@
 	"rosedale.dev/rosedale/internal/revision"
 )
 
-// centre is a data centre that has targets or is evacuated.
+// centre is a data centre that this balancer has learnt of: its own, that of a target or one
+// that was evacuated.
 type centre struct {
 	name       string
 	evacuation *evacuation // nil unless it is evacuated
@@ -61,8 +62,8 @@
 // evacuated reports whether the target's data centre gets no new flows.
 func (t *target) evacuated() bool { return t.centre.evacuation != nil }
 
-// blockedByEvacuation reports whether a service has a target that is refused new flows only
-// because its data centre is evacuated.
+// blockedByEvacuation reports whether a service has a target in an evacuated data centre that
+// meets one of the conditions of fallbacks.
 func (f *Forwarder) blockedByEvacuation(now time.Duration, s *service) bool {
 	found := false
 	s.each(func(t *target) {
--- a/internal/direct/failing_test.go
+++ b/internal/direct/failing_test.go
@@ -72,7 +72,7 @@
 // calls fail on four of them.
 func runWithFailing(fail func(*simTarget)) *replay {
 	r := newReplay(6, []int{3, 2, 2}, []int{5, 5, 4})
-	r.perFlow = 4 // requests on a long flow, as in the Kavango deployment
+	r.perFlow = 4 // mean number of requests on a long flow
 	for i, n := range []float64{5, 5, 4} {
 		r.load(i, capacity(14)*0.4*n/14, 10*time.Second)
 	}
--- a/internal/direct/flow.go
+++ b/internal/direct/flow.go
@@ -12,12 +12,12 @@
 	ended        bool        // the caller has sent a FIN or RST
 	removed      bool        // removed from the table
 	busy         bool        // a request is in flight
-	// pending is set from the caller's latest new data until the caller acknowledges new data
-	// of the target.
+	// pending is set when the caller sends new data, until it acknowledges new data of the
+	// target.
 	pending     bool
 	firstSeen   time.Duration // first packet seen here
 	lastSeen    time.Duration
-	requestedAt time.Duration // first packet of the opening or request in flight
+	requestedAt time.Duration // latest copy of the opening, then latest new data of the caller
 	maxEnd      uint32        // end of the caller's data so far
 	maxAck      uint32        // highest acknowledgement of the target's data
 	answer      pendingAnswer
--- a/internal/direct/forwarder.go
+++ b/internal/direct/forwarder.go
@@ -44,8 +44,8 @@
 	suspects       map[*target]bool         // targets that TargetsToCheck considers
 	listCompleteAt time.Duration            // see SetListCompleteAt
 	unknownCookies map[Cookie]time.Duration // first seen, for cookies without a target
-	// invalidRegistrations are targets that are registered, but whose registration has never
-	// been valid since this balancer started, by cookie.
+	// invalidRegistrations are targets whose registration was invalid when it arrived, and which
+	// this balancer does not have in targets, by cookie.
 	invalidRegistrations map[Cookie]TargetID
 	routelessFlows       map[FlowKey]time.Duration // first seen, for open flows without a route
 
@@ -90,7 +90,8 @@
 	}
 }
 
-// Count returns how many packets were handled for a reason.
+// Count returns how many packets were handled for a reason. A flow that is reset without a
+// packet, because its target died or restarted, counts as one.
 func (f *Forwarder) Count(r Reason) uint64 { return f.counts[r] }
 
 // CountAnswers returns how many requests ended with an outcome.
--- a/internal/direct/group.go
+++ b/internal/direct/group.go
@@ -5,8 +5,8 @@
 	centre  *centre
 	targets []*target
 	latency latencyRatio
-	// spillShare is the fraction of openings from this balancer's data centre that go to this
-	// group in another one; see updateSpill.
+	// spillShare is the fraction of this balancer's openings that spill from its data centre to
+	// this group in another one; see updateSpill.
 	spillShare float64
 	massExpiry massExpiry
 }
--- a/internal/direct/inspect.go
+++ b/internal/direct/inspect.go
@@ -19,7 +19,7 @@
 	PeerFlows  int           `json:"peer_flows"`
 	Load       float64       `json:"load"`     // requests per slot
 	Silence    time.Duration `json:"silence"`  // since its last sign of life here
-	Repeats    int           `json:"repeats"`  // callers' retransmissions and unanswered openings since then
+	Repeats    int           `json:"repeats"`  // retransmissions and unanswered openings since then or an answered check
 	Finding    string        `json:"finding"`  // of the latest check
 	Eligible   bool          `json:"eligible"` // for new flows
 	Good       float64       `json:"good"`     // recent requests, see Outcome
--- a/internal/direct/load.go
+++ b/internal/direct/load.go
@@ -23,8 +23,8 @@
 )
 
 // load returns the estimated requests per slot of the target: those in flight from this
-// balancer, those expected from its open flows, and the additional load of failing targets
-// (see updateScore).
+// balancer, those expected from the target's open flows, through this balancer and its peers,
+// and the additional load of failing targets (see updateScore).
 //
 // In-flight requests of peers are left out: a request takes a third of the time between two
 // reports, and all balancers would turn to the target that looked idle in the latest ones. At
--- a/internal/direct/massexpiry.go
+++ b/internal/direct/massexpiry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// massExpiryRecount is how long a count of expired targets is reused. It changes over time
+// massExpiryRecount is how long a count of expired targets is reused. The count changes
 // without events, as expired targets become too old to use.
 const massExpiryRecount = 50 * time.Millisecond
 
@@ -14,8 +14,8 @@
 }
 
 // expiredTogether reports whether at least as many targets of the group have recently expired
-// as are registered, which points to an outage of the store rather than of the targets. The
-// expired targets are then used along with the registered ones.
+// as are eligible, which points to an outage of the store rather than of the targets. The
+// expired targets are then used along with the eligible ones.
 //
 // Registrations run out while the store is unavailable. When it comes back, the first targets
 // to register again would be the only ones in the list and receive the openings of all
--- a/internal/direct/mechanism.go
+++ b/internal/direct/mechanism.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism is a feature switch: a part of the decisions that an operator can turn off, to
-// disable it or to measure its effect.
+// Mechanism is a feature switch: a part of the decisions that an operator can turn off, if
+// it does harm or to measure its effect.
 type Mechanism uint8
 
 // The feature switches.
--- a/internal/direct/observe.go
+++ b/internal/direct/observe.go
@@ -26,7 +26,8 @@
 	f.flows[fl.key] = fl
 }
 
-// adopt adds a flow that another balancer opened. It returns nil if the table is full.
+// adopt adds an open flow that is not in the table, mostly one that another balancer opened. It
+// returns nil if the table is full.
 func (f *Forwarder) adopt(now time.Duration, s *Segment, t *target) *flow {
 	if len(f.flows) >= f.maxFlows {
 		return nil
--- a/internal/direct/outcome.go
+++ b/internal/direct/outcome.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Outcome holds the numbers of recent good and bad requests. Both counts decay with
-// outcomeTimeConstant.
+// Outcome holds the numbers of recent good and bad requests. A slow answer counts half in each.
+// Both counts decay with outcomeTimeConstant.
 type Outcome struct {
 	Good float64 // answered in line with the route's baseline
 	Bad  float64 // not answered, or a short or slow answer
@@ -16,8 +16,8 @@
 	// outcomeTimeConstant is the time constant with which requests are forgotten. A target
 	// avoided for its failures gets requests again after about that time.
 	outcomeTimeConstant = 4 * time.Second
-	// outcomePrior is the number of good requests added to every target's count, so that a
-	// single bad one has little effect.
+	// outcomePrior is the number of good requests added to the total when the share of bad ones
+	// is computed, so that a single bad one has little effect.
 	outcomePrior = 2
 )
 
@@ -51,7 +51,8 @@
 	r.Good += 1 - bad
 }
 
-// share returns the share of bad requests, assuming at least the given number of requests.
+// share returns the share of bad requests, assuming at least the given number of requests and
+// outcomePrior more.
 func (o Outcome) share(minTotal float64) float64 {
 	return o.Bad / (max(o.Good+o.Bad, minTotal) + outcomePrior)
 }
--- a/internal/direct/place.go
+++ b/internal/direct/place.go
@@ -13,8 +13,9 @@
 	// With 1.0 instead of 0.25, the flows that cross at 0.7 of the slots' capacity drop from
 	// 43 to 6 of 100, and late requests at 0.9 from 8.9 to 3.4 of 100 (TestEvenLoad).
 	farMargin = 1.0
-	// nearFullLoad is the load per slot from which on other data centres are considered at
-	// all. Below it, a request in this data centre waits for half of another one at most.
+	// nearFullLoad is the load per slot from which on targets of other data centres are compared
+	// with those here. Below it, a request in this data centre waits for half of another one at
+	// most, and openings go to other data centres only by their spill shares.
 	nearFullLoad = 1.5
 )
 
--- a/internal/direct/reason.go
+++ b/internal/direct/reason.go
@@ -6,7 +6,7 @@
 // The reasons: first those to forward, then those to reset, then those to drop.
 const (
 	OpenedNear      Reason = iota // opening to a target in this data centre
-	OpenedFar                     // opening to another data centre, which has more room
+	OpenedFar                     // opening to another data centre: more room there, or no target available here
 	OpenedEvacuated               // opening to another data centre, as this one is evacuated
 	OpenedElsewhere               // retransmitted opening, to another target if one can take it
 	Forwarded                     // by the packet's cookie
--- a/internal/direct/suspect.go
+++ b/internal/direct/suspect.go
@@ -14,11 +14,11 @@
 	// suspicionTime is how long a suspicion keeps new flows away without new evidence. It
 	// covers two checks and the pause before the next one.
 	suspicionTime = 1500 * time.Millisecond
-	// checkPause is the minimum time between two checks of one target, as each takes one of
-	// its slots.
+	// checkPause is the minimum time between the starts of two checks of one target, as each
+	// takes one of its slots. confirmPause and recheckPause are the exceptions.
 	checkPause = time.Second
-	// confirmPause is the minimum time to the second check after an unanswered one. The
-	// second check decides.
+	// confirmPause is that time after a first failed check, because the second one decides, and
+	// as long as a target is found gone but is not marked dead.
 	confirmPause = 50 * time.Millisecond
 	// confirmChecks is the number of consecutive unanswered checks after which a target may
 	// be marked dead.
@@ -41,9 +41,9 @@
 // flow's target.
 //
 // When a target loses power or is cut off, retransmissions on all its flows show it seconds
-// before its registration expires. Two without a sign of life in between keep new flows away
-// and cause a check. Only failed checks reset its open flows, as those of a living target
-// have to be kept.
+// before its registration expires. The first one causes a check, and two without a sign of life
+// in between keep new flows away. Only failed checks reset its open flows, as those of a living
+// target have to be kept.
 func (f *Forwarder) recordStall(now time.Duration, fl *flow) {
 	t := fl.target
 	if now-t.lastAlive < minSilence {
@@ -122,9 +122,9 @@
 // The results of a check. Any answer shows that the target is alive, whatever health it
 // reports, because health answers may be false.
 const (
-	Alive  Finding = iota // an answer arrived
+	Alive  Finding = iota // an answer arrived, or the check was inconclusive
 	Gone                  // the address refuses connections, or another target listens there
-	Silent                // no connection within the timeout, possibly due to the path
+	Silent                // no connection was set up, possibly due to the path
 	// Restarted means that another start of the target answered.
 	Restarted
 	// Hung means that the connection was accepted, but no answer came for longer than a full
@@ -198,7 +198,8 @@
 // requests it has; treating it as ended would reset flows 10 ms before their answer. If a
 // caller's retransmission stays unacknowledged, the target has probably ended. But with a full
 // queue, callers retransmit before their turn comes, so the target must also have shown no
-// life for as long as the queue takes.
+// life for as long as the queue takes. After a second failed check, silenceConfirmed suffices;
+// see Checked.
 func (f *Forwarder) hasEnded(now time.Duration, t *target) bool {
 	return !t.Draining || t.silenceConfirmed() && now-t.lastAlive > f.CheckTimeout(t.Service)
 }
--- a/internal/direct/targetstate.go
+++ b/internal/direct/targetstate.go
@@ -32,11 +32,11 @@
 	extraLoad   float64 // load added for failed requests; see updateScore
 	failing     bool    // state in the latest OutlierChange
 
-	lastAlive       time.Duration // latest sign of life
-	stalls          int           // retransmissions and unanswered openings since lastAlive
+	lastAlive       time.Duration // latest sign of life in packets, at first when it was added
+	stalls          int           // retransmissions and unanswered openings since lastAlive or an answered check
 	overdue         bool          // a request has exceeded its timeout
 	avoidUntil      time.Duration // end of the suspicion, which keeps new flows away
-	peerSuspected   bool          // a peer suspected it first
+	peerSuspected   bool          // a peer has suspected it
 	peerCallersWait bool          // callers of a peer wait for its answers
 	callersWaited   bool          // callers of this balancer waited for it when it was marked dead
 
@@ -44,7 +44,7 @@
 	linkProbe    bool // the check is one of this balancer's own link
 	checkRunning bool
 	checkedAt    time.Duration // start of the latest check
-	failedChecks int           // consecutive checks without an answer
+	failedChecks int           // consecutive failed checks; a peer's may be the first, and Hung counts as two
 	finding      Finding       // of the latest check
 	dead         bool          // confirmed by checks
 	deadCheckAt  time.Duration // start of the latest check that confirmed it dead
@@ -72,8 +72,8 @@
 	return !t.departed && !t.Draining && !t.dead && t.placeable() && now >= t.avoidUntil
 }
 
-// registered reports whether new flows may go to the target if none is eligible. A target
-// whose address refuses connections is excluded.
+// registered reports whether new flows may go to the target if none is eligible. A target that
+// the latest check did not find at its address is excluded; see replaced.
 func (t *target) registered(time.Duration) bool {
 	return !t.departed && !t.Draining && t.placeable() && !t.replaced()
 }
@@ -88,8 +88,9 @@
 	return !t.departed && t.Draining && t.placeable() && !t.replaced() && now-t.drainingSince < lateOpeningWindow
 }
 
-// expired reports whether new flows may go to the target if no registered one is left: its
-// registration was removed recently, without an announcement that it leaves.
+// expired reports whether new flows may go to the target if no registered one is left, or if
+// its group has expired together: its registration was removed recently, without an
+// announcement that it leaves.
 //
 // Registrations run out while the store is unavailable and are all gone when it is back.
 // Without this, openings would be refused for a second or two, until living targets have
--- a/internal/direct/timeout.go
+++ b/internal/direct/timeout.go
@@ -34,7 +34,8 @@
 	return max(minRequestTimeout, time.Duration(slowFactor*b.medianTime))
 }
 
-// CheckTimeout returns the timeout of a check of a service's targets.
+// CheckTimeout returns how long a check of a service's targets waits for the answer, in
+// addition to the time allowed for the connection.
 //
 // In a burst, targets have ten requests of 60 ms queued, and a check waits behind them for
 // longer than a fixed 0.2 s. A living target would be marked dead, its open flows would be
--- a/internal/direct/times.go
+++ b/internal/direct/times.go
@@ -6,7 +6,8 @@
 type Times interface {
 	// Opened receives the time from an opening to the caller's next packet.
 	Opened(time.Duration)
-	// Answered receives the time from a request to the first acknowledgement of its answer.
+	// Answered receives the time from the latest data of a request to the first
+	// acknowledgement of its answer.
 	Answered(time.Duration)
 	// Detected receives the time from a dead target's last sign of life to its detection.
 	Detected(time.Duration)
--- a/internal/direct/unknown.go
+++ b/internal/direct/unknown.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	// listMargin is how much newer than the packet the list has to be. It gives a
+	// listMargin is how much newer than the first packet seen the list has to be. It gives a
 	// registration that expired by mistake time to be renewed.
 	listMargin = 300 * time.Millisecond
 	// maxFirstSeen bounds the tables of unknown cookies and of flows without a route, whose
