--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -144,10 +144,9 @@
 	}
 }
 
-// Two balancers list the store, and a key is removed between the pages of the second
-// one's listing, which lacks it. The second balancer lists the store again later and
-// never learns of the removal. The first one, which has the key, must not accept the
-// second one's changes as complete.
+// Two balancers list the store, and a key is removed between the pages of the second one's listing,
+// which lacks it. The second balancer lists the store again later and never learns of the removal.
+// The first one, which has the key, must not accept the second one's changes as complete.
 func TestKeyRemovedBetweenPages(t *testing.T) {
 	r, peer := New(significant), New(significant)
 	r.Replace([]Item{put("a", "1", 3)}, at(5), 0)
@@ -176,9 +175,8 @@
 	}
 }
 
-// Balancers exchange items with the store and each other in any order, with
-// duplicates and old listings. In the end all replicas are equal, and none ever returns
-// to an older write of a key.
+// Balancers exchange items with the store and each other in any order, with duplicates and old
+// listings. In the end all replicas are equal, and none ever returns to an older write of a key.
 func TestReplicasConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -75,8 +75,7 @@
 	c.openAtHome()
 }
 
-// handleAsk handles a packet of a flow that the balancer that passed it on
-// does not know.
+// handleAsk handles a packet of a flow that the balancer that passed it on does not know.
 func (c *call) handleAsk() {
 	if c.isHome() {
 		c.callerAtHome(c.hop.Flags&geneve.FlagExhausted != 0)
@@ -109,10 +108,9 @@
 	return c.forwardByEntry(&e)
 }
 
-// askNext passes the packet along the flow's rendezvous order, since the
-// balancers next in it are the most likely former or future homes. The hop
-// count determines the position in that order. After MaxAsk balancers the packet
-// returns to the home, which probes.
+// askNext passes the packet along the flow's rendezvous order, since the balancers next in it are
+// the most likely former or future homes. The hop count determines the position in that order.
+// After MaxAsk balancers the packet returns to the home, which probes.
 func (c *call) askNext() {
 	n := int(c.hop.Count)
 	hop := geneve.Hop{Kind: geneve.Ask, Count: c.hop.Count + 1}
@@ -132,9 +130,8 @@
 	c.out.sendToPeer(c.v, c.home, c.addr.Service, hop, c.seg.Raw)
 }
 
-// callerAtHome handles a caller's packet other than an opening packet at the
-// flow's home. Exhausted means that the balancers in the flow's order were
-// asked already.
+// callerAtHome handles a caller's packet other than an opening packet at the flow's home. Exhausted
+// means that the balancers in the flow's order were asked already.
 func (c *call) callerAtHome(exhausted bool) {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
@@ -163,11 +160,10 @@
 	c.askNext()
 }
 
-// probeAfterAsking probes the candidate targets when no balancer that was
-// asked knows the flow. A pending opening of this flow is ended if the
-// packet's numbers show that the caller already has a connection. A balancer
-// that was not asked has then delivered a SYN-ACK, often of the opening's own
-// target.
+// probeAfterAsking probes the candidate targets when no balancer that was asked knows the flow. A
+// pending opening of this flow is ended if the packet's numbers show that the caller already has a
+// connection. A balancer that was not asked has then delivered a SYN-ACK, often of the opening's
+// own target.
 func (c *call) probeAfterAsking(e flow.Entry, known bool) {
 	if known && !c.callerConnected(&e) {
 		c.report(DropMidOpening, &e)
@@ -201,8 +197,7 @@
 		if c.callerConnected(e) {
 			return false
 		}
-		// No SYN-ACK was delivered that this packet could follow: it is an old
-		// duplicate.
+		// No SYN-ACK was delivered that this packet could follow: it is an old duplicate.
 		c.report(DropMidOpening, e)
 		return true
 	case flow.Accepted:
@@ -229,37 +224,32 @@
 // provesActive reports whether the packet shows that its flow is active, so
 // that a flow that came from another home may be counted.
 //
-// After a flow has ended at its former home, the last acknowledgement or the
-// caller's FIN may arrive at the new one, which only learned the flow.
-// Counting it would keep a slot in use for RequestIdle; a few such slots at
-// each change of homes cause many refused requests. Those packets carry no
-// payload. An active flow soon sends some, or is handed over.
+// After a flow has ended at its former home, the last acknowledgement or the caller's FIN may
+// arrive at the new one, which only learned the flow. Counting it would keep a slot in use for
+// RequestIdle; a few such slots at each change of homes cause many refused requests. Those packets
+// carry no payload. An active flow soon sends some, or is handed over.
 func (c *call) provesActive() bool { return c.seg.PayloadLen > 0 && !c.seg.IsFin() }
 
 // callerConnected reports whether the caller already continues a flow whose
 // opening is still pending here.
 //
-// While views differ, another balancer may have delivered the SYN-ACK as the
-// flow's home. The caller then sends a segment that continues the numbers of
-// this opening and has an ACK. The other balancer knows the target and is
-// asked.
+// While views differ, another balancer may have delivered the SYN-ACK as the flow's home. The
+// caller then sends a segment that continues the numbers of this opening and has an ACK. The other
+// balancer knows the target and is asked.
 func (c *call) callerConnected(e *flow.Entry) bool {
 	return c.seg.HasAck() && c.seg.Seq-e.Seq-1 < maxUnacked
 }
 
-// maxUnacked bounds the bytes that one side sends before the other side's
-// first packet arrives. Larger distances in sequence numbers mean another
-// connection.
+// maxUnacked bounds the bytes that one side sends before the other side's first packet arrives.
+// Larger distances in sequence numbers mean another connection.
 const maxUnacked = 1 << 24
 
-// confirmsAccept checks the caller's first packet after a SYN-ACK was
-// delivered.
+// confirmsAccept checks the caller's first packet after a SYN-ACK was delivered.
 //
-// During a change of homes two of them may open the same flow at two targets,
-// and the caller completes the handshake with one. If that is the other home's
-// target, the packet acknowledges numbers that the target recorded here never
-// used; this target would answer with a reset that the caller accepts. The
-// entry is deleted instead, so that the packet is passed on to the balancer
+// During a change of homes two of them may open the same flow at two targets, and the caller
+// completes the handshake with one. If that is the other home's target, the packet acknowledges
+// numbers that the target recorded here never used; this target would answer with a reset that the
+// caller accepts. The entry is deleted instead, so that the packet is passed on to the balancer
 // that has the accepted target.
 func (c *call) confirmsAccept(e *flow.Entry) bool {
 	if !c.seg.HasAck() || c.seg.Ack-(e.Seq+1) < maxUnacked {
@@ -271,10 +261,9 @@
 	return false
 }
 
-// resetFromCaller ends a flow that its caller resets. While an opening was sent
-// to a target that has not accepted it, the reset may answer the target's
-// challenge ACK for an older flow; it is forwarded and the opening stays. A
-// reset of a queued, refused or probed flow is dropped.
+// resetFromCaller ends a flow that its caller resets. While an opening was sent to a target that
+// has not accepted it, the reset may answer the target's challenge ACK for an older flow; it is
+// forwarded and the opening stays. A reset of a queued, refused or probed flow is dropped.
 func (c *call) resetFromCaller(e flow.Entry) {
 	switch e.State {
 	case flow.Queued, flow.Refused, flow.Probing:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,6 @@
-// Package router decides what rosedaled does with each packet. It does no I/O
-// and reads no clock: its inputs are packets, views and the time, and its
-// outputs are actions. The daemon, the tests and the model checker run the
-// same code.
+// Package router decides what rosedaled does with each packet. It does no I/O and reads no clock:
+// its inputs are packets, views and the time, and its outputs are actions. The daemon, the tests
+// and the model checker run the same code.
 package router
 
 import (
@@ -16,8 +15,7 @@
 	"rosedale.dev/rosedale/internal/packet"
 )
 
-// Settings holds the limits and timeouts of a Router. A zero field takes its
-// default.
+// Settings holds the limits and timeouts of a Router. A zero field takes its default.
 type Settings struct {
 	MaxFlows      int           // entries of the flow table
 	MaxOpenings   int           // pending openings of one service
@@ -54,9 +52,8 @@
 	}
 }
 
-// Router is one balancer's data-path state. Handle may be called by several
-// traffic goroutines: packets of known flows lock only their table shard, and
-// most others lock mu.
+// Router is one balancer's data-path state. Handle may be called by several traffic goroutines:
+// packets of known flows lock only their table shard, and most others lock mu.
 type Router struct {
 	settings Settings
 	view     atomic.Pointer[View]
@@ -109,8 +106,7 @@
 // Count returns how often reason has occurred.
 func (r *Router) Count(reason Reason) uint64 { return r.counts[reason].Load() }
 
-// Increment counts a reason. The forwarding plane uses it for datagrams that
-// do not reach Handle.
+// Increment counts a reason. The forwarding plane uses it for datagrams that do not reach Handle.
 func (r *Router) Increment(reason Reason) { r.counts[reason].Add(1) }
 
 // Flows returns the number of entries in the flow table.
@@ -134,8 +130,7 @@
 	sender uint32
 	hop    geneve.Hop
 	hasHop bool // hop is set
-	// spilled: another group passed the packet on. It is handled as if it came
-	// from the fabric.
+	// spilled: another group passed the packet on. It is handled as if it came from the fabric.
 	spilled bool
 }
 
@@ -179,9 +174,8 @@
 	c.callerSlow()
 }
 
-// forwardKnown is the fast path for callers' packets: it sends the packet to
-// the flow's recorded target. It returns false if the packet needs the slow
-// path.
+// forwardKnown is the fast path for callers' packets: it sends the packet to the flow's recorded
+// target. It returns false if the packet needs the slow path.
 func (c *call) forwardKnown() bool {
 	if c.hasHop && c.hop.Kind != geneve.Ask {
 		return false
@@ -209,24 +203,21 @@
 	return true
 }
 
-// maxSeqDistance bounds the change in a caller's sequence numbers between two
-// answers.
+// maxSeqDistance bounds the change in a caller's sequence numbers between two answers.
 const maxSeqDistance = 1 << 24
 
 // matchesEntry reports whether a sequence number of the caller belongs to the
 // flow that the entry records.
 //
-// If a caller reuses a port soon after its flow ended, the new flow may have
-// another target, while a balancer that did not see the end still has the old
-// one. The caller's sequence numbers then differ widely, since they start at a
-// random value in each flow. The packet is passed to the home, which has
-// handled the new opening.
+// If a caller reuses a port soon after its flow ended, the new flow may have another target, while
+// a balancer that did not see the end still has the old one. The caller's sequence numbers then
+// differ widely, since they start at a random value in each flow. The packet is passed to the home,
+// which has handled the new opening.
 func matchesEntry(e *flow.Entry, seq uint32) bool {
 	return e.Seq == 0 || seqNear(seq, e.Seq)
 }
 
-// seqNear reports whether two sequence numbers of one direction may belong to
-// the same flow.
+// seqNear reports whether two sequence numbers of one direction may belong to the same flow.
 func seqNear(a, b uint32) bool { return a-b < maxSeqDistance || b-a < maxSeqDistance }
 
 func (c *call) fromTarget(vni uint32, from netip.Addr) {
@@ -252,8 +243,7 @@
 	c.answerSlow(id)
 }
 
-// countForeign counts an answer whose source address does not belong to the
-// service with its VNI.
+// countForeign counts an answer whose source address does not belong to the service with its VNI.
 func (c *call) countForeign(vni uint32) {
 	if _, ok := c.v.Services[vni]; !ok {
 		c.r.Increment(DropForeignNumber)
@@ -262,9 +252,8 @@
 	c.r.Increment(DropUnknownAddress)
 }
 
-// answerKnown is the fast path for answers: it sends the packet to the caller
-// if it comes from the recorded target. It returns false if the packet needs
-// the slow path.
+// answerKnown is the fast path for answers: it sends the packet to the caller if it comes from the
+// recorded target. It returns false if the packet needs the slow path.
 func (c *call) answerKnown(id uint32) bool {
 	s := c.r.table.Shard(c.keyHash)
 	s.Lock()
--- a/internal/router/views_test.go
+++ b/internal/router/views_test.go
@@ -84,12 +84,11 @@
 	}
 }
 
-// A balancer joins, and the caller's retransmitted opening packet reaches it
-// before the handover, so that two homes open the stream at two targets. A
-// SYN-ACK of the former home's target may already be the caller's connection,
-// so the new home must ask the former one. A former home without a record must
-// not reset the target; the home does so once the caller has confirmed its own
-// connection.
+// A balancer joins, and the caller's retransmitted opening packet reaches it before the handover,
+// so that two homes open the stream at two targets. A SYN-ACK of the former home's target may
+// already be the caller's connection, so the new home must ask the former one. A former home
+// without a record must not reset the target; the home does so once the caller has confirmed its
+// own connection.
 func TestCrossedAcceptanceIsForTheFormerHome(t *testing.T) {
 	o := openStreamAtHome(t)
 	r, v, c, other, out := o.r, o.v, o.caller, o.other, o.out
@@ -112,9 +111,8 @@
 	}
 }
 
-// A home hands over an opening and gets the caller's packet back from a
-// balancer with an older view. It must not open the stream again at a second
-// target.
+// A home hands over an opening and gets the caller's packet back from a balancer with an older
+// view. It must not open the stream again at a second target.
 func TestHandedOpeningIsNotOpenedAgain(t *testing.T) {
 	after := testView(0, 2, 2)
 	c := callerOf(after, 1)
@@ -152,9 +150,8 @@
 	}
 }
 
-// The former home delivered a target's SYN-ACK while this balancer opened the
-// same stream at another target. The handover must end the opening here and
-// keep the caller's connection.
+// The former home delivered a target's SYN-ACK while this balancer opened the same stream at
+// another target. The handover must end the opening here and keep the caller's connection.
 func TestAcceptedFlowWinsAtHandover(t *testing.T) {
 	o := openStreamAtHome(t)
 	r, c, own, other, out := o.r, o.caller, o.target, o.other, o.out
@@ -175,10 +172,9 @@
 	return seg.IsReset()
 }
 
-// A target's SYN-ACK is lost, and it answers the retransmitted opening packet
-// with a bare acknowledgement before the opening goes to another target. A
-// balancer that forwards this answer must not send the caller's request to the
-// first target, or both could process it.
+// A target's SYN-ACK is lost, and it answers the retransmitted opening packet with a bare
+// acknowledgement before the opening goes to another target. A balancer that forwards this answer
+// must not send the caller's request to the first target, or both could process it.
 func TestBareAcknowledgementIsNoFlow(t *testing.T) {
 	r, v := newTestRouter(0, 2, 2)
 	out := &Output{}
@@ -227,11 +223,10 @@
 	}
 }
 
-// While views differ, two homes have a stream's opening in their queues. Its
-// target refused one copy of the opening packet and accepted another, and the
-// home that gets the SYN-ACK has no room and passes it to the former one. That
-// one has room and must deliver it; a reset could end the connection that a
-// further copy has opened.
+// While views differ, two homes have a stream's opening in their queues. Its target refused one
+// copy of the opening packet and accepted another, and the home that gets the SYN-ACK has no room
+// and passes it to the former one. That one has room and must deliver it; a reset could end the
+// connection that a further copy has opened.
 func TestFormerHomeTakesTheAcceptanceItWaitsFor(t *testing.T) {
 	o := openStreamAtFormerHome(t, 1)
 	r, v, c, target, out := o.r, o.v, o.caller, o.target, o.out
@@ -244,10 +239,9 @@
 	only(t, out, ToCaller)
 }
 
-// The former home delivered a target's SYN-ACK, and this home, which has not
-// received the handover yet, opened the flow at another target, whose SYN-ACK
-// the caller ignored. Answers of the caller's target must not cause
-// corrections to the other target, which would get the caller's packets and
+// The former home delivered a target's SYN-ACK, and this home, which has not received the handover
+// yet, opened the flow at another target, whose SYN-ACK the caller ignored. Answers of the caller's
+// target must not cause corrections to the other target, which would get the caller's packets and
 // reset the flow.
 func TestUnconfirmedAcceptanceCorrectsNobody(t *testing.T) {
 	o := openStreamAtHome(t)
@@ -267,10 +261,9 @@
 	}
 }
 
-// Each of two balancers considers the other one a stream's home. The one that
-// handed over the opening gets the target's SYN-ACK at the hop limit and must
-// pass it to the new home, which would otherwise refuse the opening as
-// unanswered. The SYN-ACK must not circulate between them.
+// Each of two balancers considers the other one a stream's home. The one that handed over the
+// opening gets the target's SYN-ACK at the hop limit and must pass it to the new home, which would
+// otherwise refuse the opening as unanswered. The SYN-ACK must not circulate between them.
 func TestAcceptanceOfAHandedOpeningGoesToItsHome(t *testing.T) {
 	after := testView(0, 2, 1)
 	before := testView(0, 2, 1)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,8 +1,7 @@
-// Package platform is the stand-in for the key-value store of rosedaled's
-// platform. It implements the part of Consul's KV and session API that rosedale
-// uses: reads, compare-and-swap, recursive reads, blocking queries, and sessions
-// whose locks expire. It keeps all data in memory, counts calls, and on request
-// is slow, unavailable, or loses the answers of writes that took effect.
+// Package platform is the stand-in for the key-value store of rosedaled's platform. It implements
+// the part of Consul's KV and session API that rosedale uses: reads, compare-and-swap, recursive
+// reads, blocking queries, and sessions whose locks expire. It keeps all data in memory, counts
+// calls, and on request is slow, unavailable, or loses the answers of writes that took effect.
 package platform
 
 import (
@@ -224,8 +223,7 @@
 	s.respond(w, ok, lose)
 }
 
-// apply performs a write and reports whether its conditions (cas, acquire, release) held.
-// s.mu is held.
+// apply performs a write and reports whether its conditions (cas, acquire, release) held. s.mu is held.
 func (s *Store) apply(key string, q map[string][]string, b []byte) bool {
 	s.expire()
 	old := s.pairs[key]
